--- a/crates/entry/src/state.rs
+++ b/crates/entry/src/state.rs
@@ -148,14 +148,14 @@
     /// Pays for a retry out of the account's and the entry's budget.
     pub fn spend_retry(&self, account: &id::Account) -> bool {
         let mut shard = self.usage(account).lock();
-        let own = shard.entry(account.clone()).or_default().retries.spend();
-        own && self.retries.lock().spend()
+        let own = shard.entry(account.clone()).or_default().retries.withdraw();
+        own && self.retries.lock().withdraw()
     }
 
     /// Notes a success, which pays for later retries.
     pub fn earn_retry(&self, account: &id::Account) {
-        self.usage(account).lock().entry(account.clone()).or_default().retries.earn();
-        self.retries.lock().earn();
+        self.usage(account).lock().entry(account.clone()).or_default().retries.deposit();
+        self.retries.lock().deposit();
     }
 
     /// Tokens sent to a group and not yet answered.
--- a/crates/fleet/tests/retries.rs
+++ b/crates/fleet/tests/retries.rs
@@ -67,7 +67,7 @@
         for node in 0..nodes {
             let pool = &mut pools[node % HALLS][place(node)];
             if (now.0 / TICK.0) as usize % 40 == node % 40 {
-                own[node].earn();
+                own[node].deposit();
                 pool.earn(RATIO * (1.0 - share.part()));
                 requests.push_back(now);
             }
@@ -78,7 +78,7 @@
             while debt[node] >= 1.0 {
                 debt[node] -= 1.0;
                 outcome.wanted += 1;
-                if own[node].spend() || pool.lend() {
+                if own[node].withdraw() || pool.lend() {
                     outcome.made += 1;
                     made.push_back(now);
                 }
--- a/crates/kernel/src/budget.rs
+++ b/crates/kernel/src/budget.rs
@@ -33,7 +33,7 @@
 
 impl Purpose {
     /// The part of the bucket, in tenths, that must be there before the call.
-    fn floor(self) -> u64 {
+    fn reserve_tenths(self) -> u64 {
         match self {
             Purpose::Lease | Purpose::Operator => 0,
             Purpose::Group => 1,
@@ -50,13 +50,13 @@
     /// Millionths of a call gained each millisecond.
     rate: u64,
     /// The most it holds.
-    size: u64,
+    capacity: u64,
     level: u64,
-    at: Millis,
+    updated: Millis,
 }
 
 /// One call in the bucket's unit.
-const CALL: u64 = 1_000_000;
+const UNITS_PER_CALL: u64 = 1_000_000;
 
 /// Calls a node may save up.
 pub const BURST: u64 = 20;
@@ -64,7 +64,7 @@
 impl Bucket {
     /// The bucket of one node among `nodes`.
     pub fn new(nodes: usize, now: Millis) -> Bucket {
-        Bucket::with_rate(rate(nodes), now)
+        Bucket::with_rate(compute_rate(nodes), now)
     }
 
     /// The bucket for operators' commands.
@@ -73,29 +73,29 @@
     }
 
     fn with_rate(rate: u64, now: Millis) -> Bucket {
-        let size = BURST * CALL;
-        Bucket { rate, size, level: size, at: now }
+        let capacity = BURST * UNITS_PER_CALL;
+        Bucket { rate, capacity, level: capacity, updated: now }
     }
 
-    /// Follows the fleet's size.
-    pub fn resize(&mut self, nodes: usize) {
-        self.rate = rate(nodes);
+    /// Follows the fleet's capacity.
+    pub fn set_nodes(&mut self, nodes: usize) {
+        self.rate = compute_rate(nodes);
     }
 
     /// Takes one call for `purpose`; false when it has to wait.
-    pub fn take(&mut self, purpose: Purpose, now: Millis) -> bool {
-        let gained = now.since(self.at).0 * self.rate;
-        self.level = (self.level + gained).min(self.size);
-        self.at = self.at.max(now);
-        if self.level < CALL + self.size * purpose.floor() / 10 {
+    pub fn acquire(&mut self, purpose: Purpose, now: Millis) -> bool {
+        let gained = now.since(self.updated).0 * self.rate;
+        self.level = (self.level + gained).min(self.capacity);
+        self.updated = self.updated.max(now);
+        if self.level < UNITS_PER_CALL + self.capacity * purpose.reserve_tenths() / 10 {
             return false;
         }
-        self.level -= CALL;
+        self.level -= UNITS_PER_CALL;
         true
     }
 }
 
-fn rate(nodes: usize) -> u64 {
+fn compute_rate(nodes: usize) -> u64 {
     u64::from(FLEET_RATE) * 1000 / nodes.max(1) as u64
 }
 
@@ -107,8 +107,8 @@
     fn the_fleet_stays_inside_its_rate() {
         let nodes = 350;
         let mut bucket = Bucket::new(nodes, Millis(0));
-        let tries = (0..100_000).filter(|ms| bucket.take(Purpose::Lease, Millis(*ms))).count();
-        let fleet = (tries as u64 - BURST) * nodes as u64 / 100;
+        let acquired = (0..100_000).filter(|ms| bucket.acquire(Purpose::Lease, Millis(*ms))).count();
+        let fleet = (acquired as u64 - BURST) * nodes as u64 / 100;
         assert!(fleet <= u64::from(FLEET_RATE), "{fleet} calls a second");
         assert!(fleet >= u64::from(FLEET_RATE) * 9 / 10, "{fleet} calls a second");
     }
@@ -116,8 +116,8 @@
     #[test]
     fn the_rest_leaves_room_for_leases() {
         let mut bucket = Bucket::new(350, Millis(0));
-        let others = (0..100).filter(|_| bucket.take(Purpose::Other, Millis(0))).count();
-        let leases = (0..100).filter(|_| bucket.take(Purpose::Lease, Millis(0))).count();
+        let others = (0..100).filter(|_| bucket.acquire(Purpose::Other, Millis(0))).count();
+        let leases = (0..100).filter(|_| bucket.acquire(Purpose::Lease, Millis(0))).count();
         assert_eq!((others, leases), (8, 12));
     }
 }
--- a/crates/kernel/src/clock.rs
+++ b/crates/kernel/src/clock.rs
@@ -85,7 +85,7 @@
 }
 
 /// The time for which processes could run since boot, or time in general.
-fn read(clock: ClockId) -> Millis {
+fn read_clock(clock: ClockId) -> Millis {
     let time = clock_gettime(clock);
     Millis(time.tv_sec as u64 * 1000 + time.tv_nsec as u64 / 1_000_000)
 }
@@ -94,7 +94,7 @@
     /// Reads the wall clock once.
     pub fn new() -> System {
         let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        System { wall: Millis(wall.as_millis() as u64), start: read(ClockId::Boottime) }
+        System { wall: Millis(wall.as_millis() as u64), start: read_clock(ClockId::Boottime) }
     }
 }
 
@@ -106,46 +106,46 @@
 
 impl Clock for System {
     fn now(&self) -> Millis {
-        self.wall + read(ClockId::Boottime).since(self.start)
+        self.wall + read_clock(ClockId::Boottime).since(self.start)
     }
 }
 
 /// A time in which this process did not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Gap {
+pub enum Suspension {
     /// The machine was suspended: its timers stood still as well.
     Suspended(Millis),
     /// The process was held up, and its timers ran on.
     Frozen(Millis),
 }
 
-impl fmt::Display for Gap {
+impl fmt::Display for Suspension {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Gap::Suspended(span) => write!(f, "suspended for {span}"),
-            Gap::Frozen(span) => write!(f, "held up for {span}"),
+            Suspension::Suspended(span) => write!(f, "suspended for {span}"),
+            Suspension::Frozen(span) => write!(f, "held up for {span}"),
         }
     }
 }
 
 /// The clocks run apart by less than this where the machine was not suspended: they are
 /// read one after the other, and a busy machine may do other things in between for 0.1 s.
-const SUSPENDED: Millis = Millis(200);
+const MIN_SUSPENDED: Millis = Millis(200);
 
 /// A timer that is later than this shows that the process was held up. One that waits for
 /// its share of a busy machine is late by 0.1 to 0.3 s.
-const FROZEN: Millis = Millis(500);
-
-impl Gap {
-    /// What `total` time tells, of which `steady` was counted by timers, one of which was to
-    /// end after `planned`.
-    pub fn find(planned: Millis, steady: Millis, total: Millis) -> Option<Gap> {
-        let suspended = total.since(steady);
-        let late = steady.since(planned);
-        if suspended >= SUSPENDED {
-            Some(Gap::Suspended(suspended))
-        } else if late >= FROZEN {
-            Some(Gap::Frozen(late))
+const MIN_FROZEN: Millis = Millis(500);
+
+impl Suspension {
+    /// What `boottime` time tells, of which `monotonic` was counted by timers, one of which was to
+    /// end after `timeout`.
+    pub fn detect(timeout: Millis, monotonic: Millis, boottime: Millis) -> Option<Suspension> {
+        let suspended = boottime.since(monotonic);
+        let late = monotonic.since(timeout);
+        if suspended >= MIN_SUSPENDED {
+            Some(Suspension::Suspended(suspended))
+        } else if late >= MIN_FROZEN {
+            Some(Suspension::Frozen(late))
         } else {
             None
         }
@@ -154,25 +154,26 @@
 
 /// Notices when this process did not run.
 #[derive(Debug)]
-pub struct Watch {
+pub struct SuspensionDetector {
     clock: System,
     /// When it was last looked at, by the clock and by the one that timers use.
-    total: Millis,
-    steady: Millis,
+    boottime: Millis,
+    monotonic: Millis,
 }
 
-impl Watch {
+impl SuspensionDetector {
     /// Watches from now on.
-    pub fn new(clock: System) -> Watch {
-        Watch { total: clock.now(), clock, steady: read(ClockId::Monotonic) }
+    pub fn new(clock: System) -> SuspensionDetector {
+        SuspensionDetector { boottime: clock.now(), clock, monotonic: read_clock(ClockId::Monotonic) }
     }
 
-    /// What the time since the last look tells, which a timer of `planned` has ended.
-    pub fn look(&mut self, planned: Millis) -> Option<Gap> {
-        let (total, steady) = (self.clock.now(), read(ClockId::Monotonic));
-        let gap = Gap::find(planned, steady.since(self.steady), total.since(self.total));
-        (self.total, self.steady) = (total, steady);
-        gap
+    /// What the time since the last look tells, which a timer of `timeout` has ended.
+    pub fn check(&mut self, timeout: Millis) -> Option<Suspension> {
+        let (boottime, monotonic) = (self.clock.now(), read_clock(ClockId::Monotonic));
+        let suspension =
+            Suspension::detect(timeout, monotonic.since(self.monotonic), boottime.since(self.boottime));
+        (self.boottime, self.monotonic) = (boottime, monotonic);
+        suspension
     }
 }
 
@@ -213,21 +214,22 @@
 
     #[test]
     fn a_suspended_machine_is_told_from_a_process_that_was_held_up() {
-        let find = |steady, total| Gap::find(Millis(100), Millis(steady), Millis(total));
-        assert_eq!(find(101, 101), None);
-        assert_eq!(find(101, 290), None, "the clocks are not read at once");
-        assert_eq!(find(101, 401), Some(Gap::Suspended(Millis(300))));
-        assert_eq!(find(3100, 13_100), Some(Gap::Suspended(Millis(10_000))));
-        assert_eq!(find(400, 400), None, "a busy machine");
-        assert_eq!(find(3100, 3100), Some(Gap::Frozen(Millis(3000))));
+        let detect =
+            |monotonic, boottime| Suspension::detect(Millis(100), Millis(monotonic), Millis(boottime));
+        assert_eq!(detect(101, 101), None);
+        assert_eq!(detect(101, 290), None, "the clocks are not read at once");
+        assert_eq!(detect(101, 401), Some(Suspension::Suspended(Millis(300))));
+        assert_eq!(detect(3100, 13_100), Some(Suspension::Suspended(Millis(10_000))));
+        assert_eq!(detect(400, 400), None, "a busy machine");
+        assert_eq!(detect(3100, 3100), Some(Suspension::Frozen(Millis(3000))));
     }
 
     #[test]
     fn the_system_clock_goes_on_as_the_time_since_boot_does() {
         let clock = System::new();
-        let (start, now) = (read(ClockId::Boottime), clock.now());
+        let (start, now) = (read_clock(ClockId::Boottime), clock.now());
         std::thread::park_timeout(Duration::from_millis(30));
-        let passed = read(ClockId::Boottime).since(start);
+        let passed = read_clock(ClockId::Boottime).since(start);
         assert!(clock.now().since(now) <= passed + Millis(2));
         assert!(clock.now().since(now) + Millis(2) >= passed);
     }
--- a/crates/net/src/store.rs
+++ b/crates/net/src/store.rs
@@ -100,7 +100,7 @@
 
     /// Follows the fleet's size, by which the rate is divided.
     pub fn resize(&self, nodes: usize) {
-        self.state.lock().bucket.resize(nodes);
+        self.state.lock().bucket.set_nodes(nodes);
     }
 
     /// The calls made so far.
@@ -118,7 +118,7 @@
                     Purpose::Operator => &mut state.operators,
                     _ => &mut state.bucket,
                 };
-                if bucket.take(purpose, self.clock.now()) {
+                if bucket.acquire(purpose, self.clock.now()) {
                     count(&mut state.calls);
                     return Ok(());
                 }
--- a/crates/node/src/figures.rs
+++ b/crates/node/src/figures.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use bytes::Bytes;
-use cottoncrank::clock::Gap;
+use cottoncrank::clock::Suspension;
 use cottoncrank::{Millis, id};
 use cottoncrank_fleet::evidence::Level;
 use hyper::body::Incoming;
@@ -79,10 +79,10 @@
 }
 
 /// The process did not run for a while.
-pub fn count_gap(gap: &Gap) {
+pub fn count_gap(gap: &Suspension) {
     let kind = match gap {
-        Gap::Suspended(_) => "suspended",
-        Gap::Frozen(_) => "frozen",
+        Suspension::Suspended(_) => "suspended",
+        Suspension::Frozen(_) => "frozen",
     };
     metrics::counter!("cottoncrank_gaps_total", "kind" => kind).increment(1);
 }
--- a/crates/node/src/pulse.rs
+++ b/crates/node/src/pulse.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 
 use cottoncrank::Millis;
-use cottoncrank::clock::{Gap, Watch};
+use cottoncrank::clock::{Suspension, SuspensionDetector};
 
 use crate::figures;
 use crate::state::Node;
@@ -18,10 +18,10 @@
 
 /// Looks after time until the process ends.
 pub async fn run(node: Arc<Node>) {
-    let mut watch = Watch::new(node.clock.clone());
+    let mut watch = SuspensionDetector::new(node.clock.clone());
     loop {
         tokio::time::sleep(BEAT.duration()).await;
-        if let Some(gap) = watch.look(BEAT) {
+        if let Some(gap) = watch.check(BEAT) {
             wake(&node, gap);
         }
         suspects::settle(&node);
@@ -30,7 +30,7 @@
 
 /// The process runs again. What is known is as old as the clock says, which counts the gap:
 /// nothing has to be thrown away.
-fn wake(node: &Node, gap: Gap) {
+fn wake(node: &Node, gap: Suspension) {
     let silence = node.silence().map_or("unknown".to_owned(), |silence| silence.to_string());
     log::warn!(
         "node: this process was {gap}; changes of the store may be missed for {silence}, {} requests under way",
--- a/crates/node/src/request.rs
+++ b/crates/node/src/request.rs
@@ -76,7 +76,7 @@
 }
 
 async fn run(node: &Arc<Node>, job: Arc<Job>, running: Running) -> Result<Answer, Refusal> {
-    node.retries.lock().earn();
+    node.retries.lock().deposit();
     if suspects::is_deadly(node, &job) {
         return Err(Refusal::Deadly);
     }
--- a/crates/node/src/retries.rs
+++ b/crates/node/src/retries.rs
@@ -39,7 +39,7 @@
     let share = share(node);
     let mut retries = node.retries.lock();
     retries.set_ratio(earned(node) * share.part());
-    retries.set_full(share.own);
+    retries.set_capacity(share.own);
 }
 
 /// As the collector, keeps what is left over of the shares of the nodes that report to this one.
@@ -68,7 +68,7 @@
 
 /// Pays for sending a request again; false if it is not allowed.
 pub(crate) async fn spend(node: &Arc<Node>, job: &Job) -> bool {
-    if node.retries.lock().spend() {
+    if node.retries.lock().withdraw() {
         return true;
     }
     let Some(collector) = find_asked(node) else { return refuse(job, "nobody lends one") };
--- a/crates/node/tests/fleet.rs
+++ b/crates/node/tests/fleet.rs
@@ -136,7 +136,7 @@
         .await;
     let spend = |running: &common::Running| {
         let mut retries = running.node.retries.lock();
-        (0..1000).filter(|_| retries.spend()).count()
+        (0..1000).filter(|_| retries.withdraw()).count()
     };
     let spent: usize = fleet.nodes.iter().map(spend).sum();
     assert!(spent <= 100, "the fleet may save up 100, its nodes spent {spent}");
--- a/crates/node/tests/requests.rs
+++ b/crates/node/tests/requests.rs
@@ -263,11 +263,11 @@
         roster.get(&id).is_some_and(|runner| runner.address == nowhere)
     };
     fleet.wait("the node knows the new address", moved).await;
-    while node.retries.lock().spend() {}
+    while node.retries.lock().withdraw() {}
     // One of the two meets it, for each goes to a head without a request of this node.
     let (one, other) = tokio::join!(fleet.ask(STREAM, "r1"), fleet.ask(STREAM, "r2"));
     assert_eq!((one.status, other.status), (200, 200));
-    assert!(!node.retries.lock().spend(), "nothing was saved up meanwhile");
+    assert!(!node.retries.lock().withdraw(), "nothing was saved up meanwhile");
 }
 
 #[tokio::test]
