--- a/crates/controller/src/configure.rs
+++ b/crates/controller/src/configure.rs
@@ -139,7 +139,7 @@
         };
         let document = read_document(value.as_ref())?;
         if unsure.is_some()
-            && let Some(revision) = document.made_by(proposal)
+            && let Some(revision) = document.find_write(proposal)
         {
             log::info!("config: the answer was lost, the change stands at revision {revision}");
             state.adopt(document.delta(id::Revision(0)), "the store");
--- a/crates/controller/src/domains.rs
+++ b/crates/controller/src/domains.rs
@@ -9,7 +9,7 @@
 use cottoncrank::config::Kind;
 use cottoncrank::decide::{Decision, Hold, View, list_orders, step};
 use cottoncrank::domain::{self, Document};
-use cottoncrank::engine::{Obeyed, Order};
+use cottoncrank::engine::{Order, OrderReply};
 use cottoncrank::evidence::{Evidence, gather};
 use cottoncrank::member::{Member, decider, live_in};
 use cottoncrank::row::{Body, Group, Key, Row, Whole};
@@ -53,9 +53,9 @@
 fn list_own(state: &State, config: &config::Document, members: &[Member]) -> Vec<id::Domain> {
     let hall = &state.settings.hall;
     let live = live_in(members, hall);
-    let names = config.of(Kind::Domain).filter_map(|(name, _)| name.parse::<id::Domain>().ok());
+    let names = config.list_kind(Kind::Domain).filter_map(|(name, _)| name.parse::<id::Domain>().ok());
     let own: Vec<id::Domain> = names
-        .filter(|domain| config.hall_of(domain) == Some(hall))
+        .filter(|domain| config.find_hall(domain) == Some(hall))
         .filter(|domain| decider(domain, &live) == Some(&state.settings.node))
         .collect();
     state.documents.lock().retain(|domain, _| own.contains(domain));
@@ -247,12 +247,12 @@
     }
     let (state, in_flight) = (state.clone(), in_flight.clone());
     tokio::spawn(async move {
-        match state.client.call::<Order, Obeyed>(address, "/order", &order, ORDER_WAIT).await {
-            Ok(Obeyed::Yes) => log::info!("order: {runner} obeyed generation {}", order.generation()),
-            Ok(Obeyed::Fenced { held }) => {
+        match state.client.call::<Order, OrderReply>(address, "/order", &order, ORDER_WAIT).await {
+            Ok(OrderReply::Yes) => log::info!("order: {runner} obeyed generation {}", order.generation()),
+            Ok(OrderReply::Fenced { held }) => {
                 log::warn!("order: {runner} holds generation {held}, refused {}", order.generation());
             }
-            Ok(Obeyed::Reborn { incarnation }) => log::warn!("order: {runner} is in life {incarnation}"),
+            Ok(OrderReply::Reborn { incarnation }) => log::warn!("order: {runner} is in life {incarnation}"),
             Err(error) => log::debug!("order: {runner}: {error}"),
         }
         // The watchers need a moment to see the new role; until then it is not sent again.
--- a/crates/controller/src/listing.rs
+++ b/crates/controller/src/listing.rs
@@ -45,7 +45,7 @@
 
 fn is_of_hall(config: &config::Document, runner: &id::Runner, hall: &id::Hall) -> bool {
     match config.get(&config::Key::new(Kind::Runner, runner)) {
-        Some(Entry::Runner { domain, .. }) => config.hall_of(domain) == Some(hall),
+        Some(Entry::Runner { domain, .. }) => config.find_hall(domain) == Some(hall),
         _ => false,
     }
 }
--- a/crates/controller/src/operate.rs
+++ b/crates/controller/src/operate.rs
@@ -5,7 +5,7 @@
 use cottoncrank::budget::Purpose;
 use cottoncrank::command::{self, Change, Command, Show, Subject, Target, parse_line};
 use cottoncrank::config::{self, Entry, KEY, Kind};
-use cottoncrank::domain::{Document, Event, Phase, join};
+use cottoncrank::domain::{Document, Event, Phase, join_names};
 use cottoncrank::evidence::gather_runner;
 use cottoncrank::member::live_in;
 use cottoncrank::row::{Body, Group, Key};
@@ -111,11 +111,11 @@
         let mut text =
             format!("in force on {} of {} live nodes after {waited}", live.len() - behind.len(), live.len());
         if !behind.is_empty() {
-            text = format!("{text}; not heard from {}", join(&behind));
+            text = format!("{text}; not heard from {}", join_names(&behind));
         }
         let recent: Vec<String> = gone.iter().map(|m| format!("{} of {}", m.id, m.node.hall)).collect();
         if !recent.is_empty() {
-            text = format!("{text}; out of reach: {}", join(&recent));
+            text = format!("{text}; out of reach: {}", join_names(&recent));
         }
         return text;
     }
@@ -128,7 +128,7 @@
     let next = prepare(here, &document, std::slice::from_ref(change), id::Proposal(0))?;
     let mut table = Table::new(&["entry", "now", "then"]);
     let delta = next.delta(document.revision);
-    for (key, slot) in delta.slots {
+    for (key, slot) in delta.entries {
         let show = |entry: Option<&Entry>| entry.map_or("-".to_owned(), describe_entry);
         table.push(vec![key.to_string(), show(document.get(&key)), show(slot.entry.as_ref())]);
     }
@@ -143,10 +143,10 @@
             format!("domain {domain}, address {address}, fence {fence:?}{drained}")
         }
         Entry::Group { domain, model, size, accounts } => {
-            let accounts = if accounts.is_empty() { "all".to_owned() } else { join(accounts) };
+            let accounts = if accounts.is_empty() { "all".to_owned() } else { join_names(accounts) };
             format!("domain {domain}, model {model}, size {size}, accounts {accounts}")
         }
-        Entry::Service { addresses } => join(addresses),
+        Entry::Service { addresses } => join_names(addresses),
         Entry::Account { share, limit, .. } => format!("share {share}, limit {limit}"),
     }
 }
@@ -165,7 +165,7 @@
 
 fn list_entries(state: &State, kind: Kind, about: &str) -> Table {
     let mut table = Table::new(&["name", about]);
-    for (name, entry) in state.config.lock().of(kind) {
+    for (name, entry) in state.config.lock().list_kind(kind) {
         table.push(vec![name.to_owned(), describe_entry(entry)]);
     }
     table
@@ -184,7 +184,7 @@
     crate::views::refresh(state);
     let view = state.view.borrow().clone();
     let config = state.config.lock().clone();
-    for (name, entry) in config.of(Kind::Group) {
+    for (name, entry) in config.list_kind(Kind::Group) {
         let Entry::Group { domain, model, size, .. } = entry else { continue };
         let row = name.parse().ok().and_then(|id| group_row(state, &id));
         let seen = view.groups.iter().find(|group| group.id.as_str() == name);
@@ -204,7 +204,7 @@
             row.map_or("-".to_owned(), |row| row.group.generation.to_string()),
             condition.to_owned(),
             seen.map_or(0, |group| group.load.running).to_string(),
-            join(&members),
+            join_names(&members),
         ]);
     }
     table
@@ -245,9 +245,11 @@
     let members = state.members();
     let config = state.config.lock().clone();
     let rows = state.table.lock();
-    for (name, entry) in config.of(Kind::Runner) {
+    for (name, entry) in config.list_kind(Kind::Runner) {
         let Entry::Runner { domain, drained, .. } = entry else { continue };
-        let (Ok(runner), Some(hall)) = (name.parse::<id::Runner>(), config.hall_of(domain)) else { continue };
+        let (Ok(runner), Some(hall)) = (name.parse::<id::Runner>(), config.find_hall(domain)) else {
+            continue;
+        };
         if *hall != state.settings.hall {
             continue;
         }
@@ -261,7 +263,7 @@
             notes.push("leaving".to_owned());
         }
         if !known.missed.is_empty() {
-            notes.push(format!("missed by {}", join(&known.missed)));
+            notes.push(format!("missed by {}", join_names(&known.missed)));
         }
         table.push(vec![
             name.to_owned(),
@@ -271,7 +273,7 @@
             known.seen.as_ref().map_or("-".to_owned(), |seen| format!("{:?}", seen.stage).to_lowercase()),
             role.as_ref().map_or("-".to_owned(), |role| role.generation.to_string()),
             (known.reached.len() + known.missed.len()).to_string(),
-            join(&notes),
+            join_names(&notes),
         ]);
     }
     table
@@ -318,7 +320,7 @@
             .columns
             .iter()
             .position(|column| column == name)
-            .ok_or_else(|| OperateError::Column { name: name.to_owned(), known: join(&table.columns) })
+            .ok_or_else(|| OperateError::Column { name: name.to_owned(), known: join_names(&table.columns) })
     };
     if let Some((column, value)) = &show.filter {
         let at = find(&table, column)?;
@@ -352,7 +354,7 @@
     let now = state.now();
     for event in document.events.iter().filter(|event| concerns(event, target)) {
         let passed: Vec<String> =
-            event.passed.iter().map(|passed| format!("{}: {}", passed.option, passed.reason)).collect();
+            event.alternatives.iter().map(|passed| format!("{}: {}", passed.option, passed.reason)).collect();
         table.push(vec![
             format!("{} ago", now.since(event.at)),
             event.generation.to_string(),
--- a/crates/controller/src/runners.rs
+++ b/crates/controller/src/runners.rs
@@ -49,8 +49,8 @@
     let me = &state.settings.node;
     let live = live_in(&members, &state.settings.hall);
     let config = state.config.lock();
-    let runners = config.of(Kind::Runner).filter_map(|(name, entry)| match entry {
-        Entry::Runner { domain, address, .. } if config.hall_of(domain) == Some(&state.settings.hall) => {
+    let runners = config.list_kind(Kind::Runner).filter_map(|(name, entry)| match entry {
+        Entry::Runner { domain, address, .. } if config.find_hall(domain) == Some(&state.settings.hall) => {
             Some((name.parse::<id::Runner>().ok()?, *address))
         }
         _ => None,
@@ -164,7 +164,7 @@
     let of_domain =
         move |entry: &Entry| matches!(entry, Entry::Runner { domain: theirs, .. } if theirs == domain);
     config
-        .of(Kind::Runner)
+        .list_kind(Kind::Runner)
         .filter(|(_, entry)| of_domain(entry))
         .filter_map(|(name, entry)| Some((name.parse().ok()?, entry)))
         .collect()
--- a/crates/controller/src/state.rs
+++ b/crates/controller/src/state.rs
@@ -180,7 +180,7 @@
     /// Takes a configuration in if it is newer; returns whether it was.
     pub fn adopt(&self, delta: config::Delta, from: &str) -> bool {
         let revision = delta.revision;
-        if !self.config.lock().adopt(delta) {
+        if !self.config.lock().apply(delta) {
             return false;
         }
         log::info!("config: revision {revision} is in force here, learned from {from}");
--- a/crates/entry/src/keys.rs
+++ b/crates/entry/src/keys.rs
@@ -3,7 +3,7 @@
 
 use std::sync::Arc;
 
-use cottoncrank::claim::{Verdict, find_owners, judge};
+use cottoncrank::claim::{Verdict, find_owners, resolve_claims};
 use cottoncrank::wire::{Claim, Claimed, Recorded};
 use cottoncrank::{Millis, view};
 
@@ -59,7 +59,7 @@
     for owner in find_owners(&terms.account, key, &view.nodes) {
         answers.push((owner, ask(state, owner, claim()).await));
     }
-    let verdict = judge(&answers, &view.nodes, state.now());
+    let verdict = resolve_claims(&answers, &view.nodes, state.now());
     if verdict != Verdict::Run {
         // Owners that gave the key to this request get it back.
         close(state, terms, Recorded::NotRun).await;
--- a/crates/entry/src/relay.rs
+++ b/crates/entry/src/relay.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use bytes::{Buf, Bytes, BytesMut};
-use cottoncrank::engine::{Finish, Frame, Generate, Refusal};
+use cottoncrank::engine::{Finish, Frame, Generate, Rejection};
 use cottoncrank::outcome::{Fate, Next};
 use cottoncrank::route::{Choice, pick};
 use cottoncrank::view::{Condition, Group};
@@ -56,7 +56,7 @@
     #[error("{0}")]
     Call(#[from] CallError),
     #[error("the engine refused: {0:?}")]
-    Refused(Refusal),
+    Refused(Rejection),
     #[error("the engine answered {0}")]
     Status(Status),
     #[error("the engine sent something else than the next frame of this request")]
@@ -166,7 +166,7 @@
         log::warn!("relay: request {:016x}: {error}", self.terms.request.0);
         metrics::counter!("cottoncrank_tries_failed").increment(1);
         let full =
-            matches!(error, TryError::Refused(Refusal { reason: cottoncrank::engine::Reason::Full, .. }));
+            matches!(error, TryError::Refused(Rejection { reason: cottoncrank::engine::Reason::Full, .. }));
         let cause = match (error, address) {
             (TryError::Deadline, _) => Cause::Deadline,
             (_, Some(address)) => Cause::Backend(address),
@@ -283,7 +283,7 @@
     async fn read_refusal(&mut self, mut refused: Try) -> TryError {
         let empty = BodyExt::collect(&mut refused.body).await.map(|body| body.to_bytes());
         let Ok(bytes) = empty else { return TryError::Short };
-        match rmp_serde::from_slice::<Refusal>(&bytes) {
+        match rmp_serde::from_slice::<Rejection>(&bytes) {
             Ok(refusal)
                 if refusal.request == self.terms.request && refusal.generation == refused.generation =>
             {
--- a/crates/entry/src/state.rs
+++ b/crates/entry/src/state.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
 
-use cottoncrank::claim::Ledger;
+use cottoncrank::claim::Claims;
 use cottoncrank::clock::System;
 use cottoncrank::hash::hash;
 use cottoncrank::retry::Budget;
@@ -38,7 +38,7 @@
     pub policy: route::Policy,
     view: RwLock<Arc<View>>,
     heard: AtomicU64,
-    ledgers: Vec<Mutex<Ledger>>,
+    ledgers: Vec<Mutex<Claims>>,
     usages: Vec<Mutex<HashMap<id::Account, Usage>>>,
     sent: Mutex<HashMap<id::Group, u64>>,
     retries: Mutex<Budget>,
@@ -111,7 +111,7 @@
     }
 
     /// The shard of the ledger for a key.
-    pub fn ledger(&self, key: &str) -> &Mutex<Ledger> {
+    pub fn ledger(&self, key: &str) -> &Mutex<Claims> {
         &self.ledgers[hash(key.as_bytes()) as usize % SHARDS]
     }
 
--- a/crates/fleet/tests/staging.rs
+++ b/crates/fleet/tests/staging.rs
@@ -137,7 +137,7 @@
 fn a_runner_with_the_longest_name_there_can_be_is_preloaded() {
     let mut world = World::new(1);
     let mut long = runner(0, 99);
-    long.id = "r".repeat(id::NAME_MAX).parse().unwrap();
+    long.id = "r".repeat(id::MAX_NAME_LEN).parse().unwrap();
     long.staged = vec!["large".parse().unwrap()];
     world.roster.put(long.clone());
     let mut preloaded = false;
--- a/crates/kernel/benches/decisions.rs
+++ b/crates/kernel/benches/decisions.rs
@@ -7,7 +7,7 @@
 use cottoncrank::Millis;
 use cottoncrank::config::{self, Entry, Fence, Key as Name, Kind};
 use cottoncrank::decide::{View, step};
-use cottoncrank::domain::{Document, Group, Phase, Place};
+use cottoncrank::domain::{Document, Group, Phase, Placement};
 use cottoncrank::engine::{Role, Stage};
 use cottoncrank::evidence::gather;
 use cottoncrank::id::{self, Generation, Incarnation, Proposal, Revision};
@@ -55,7 +55,7 @@
             accounts: vec![],
         };
         put(Name::new(Kind::Group, &id), entry);
-        let place = |runner: &id::Runner| Place { runner: runner.clone(), incarnation: Incarnation(1) };
+        let place = |runner: &id::Runner| Placement { runner: runner.clone(), incarnation: Incarnation(1) };
         let members = runners[n * SIZE..(n + 1) * SIZE].iter().map(place).collect();
         let group = Group { generation: Generation(n as u64 + 1), model, members, phase: Phase::Serve };
         document.groups.insert(id, group);
@@ -84,7 +84,7 @@
     let members = list_members(&hall.table, NOW);
     let live = live_in(&members, &hall.name);
     for (n, runner) in hall.runners.iter().enumerate() {
-        let role = hall.document.group_of(runner).map(|(id, group)| Role {
+        let role = hall.document.find_group(runner).map(|(id, group)| Role {
             group: id.clone(),
             generation: group.generation,
             rank: (n % SIZE) as u16,
--- a/crates/kernel/src/claim.rs
+++ b/crates/kernel/src/claim.rs
@@ -1,4 +1,4 @@
-//! The ledger of request keys that one entry owns.
+//! The claims of request keys that one entry owns.
 //!
 //! A key belongs to the two live nodes of the hall with the highest scores, and
 //! both have to agree before its request runs. A repeat at any entry box finds
@@ -31,7 +31,11 @@
 /// only if some owner that answered was an owner all through the horizon; a
 /// hall in which no node is that old has just been started, and then all
 /// owners have to agree.
-pub fn judge(owners: &[(&view::Node, Option<Claimed>)], nodes: &[view::Node], now: Millis) -> Verdict {
+pub fn resolve_claims(
+    owners: &[(&view::Node, Option<Claimed>)],
+    nodes: &[view::Node],
+    now: Millis,
+) -> Verdict {
     let mut running = false;
     for (_, claimed) in owners {
         match claimed {
@@ -43,55 +47,55 @@
     if running {
         return Verdict::Running;
     }
-    let is_old = |node: &view::Node| now.since(node.since) >= HORIZON;
-    let old_owner = owners.iter().any(|(node, claimed)| claimed.is_some() && is_old(node));
+    let is_old = |node: &view::Node| now.since(node.since) >= KEY_TTL;
+    let has_old_owner = owners.iter().any(|(node, claimed)| claimed.is_some() && is_old(node));
     let all_answered = !owners.is_empty() && owners.iter().all(|(_, claimed)| claimed.is_some());
-    let young_hall = !nodes.iter().any(is_old);
-    match old_owner || (young_hall && all_answered) {
+    let is_new_hall = !nodes.iter().any(is_old);
+    match has_old_owner || (is_new_hall && all_answered) {
         true => Verdict::Run,
         false => Verdict::Unsure,
     }
 }
 
 /// How many nodes own a key.
-pub const OWNERS: usize = 2;
+pub const OWNERS_PER_KEY: usize = 2;
 
 /// How long a key is remembered.
-pub const HORIZON: Millis = Millis(600_000);
+pub const KEY_TTL: Millis = Millis(600_000);
 
 /// The most keys remembered; above it new keys are refused.
-pub const KEYS_MAX: usize = 200_000;
+pub const MAX_KEYS: usize = 200_000;
 
 #[derive(Clone, Debug)]
-struct Slot {
+struct Claim {
     request: id::Request,
     recorded: Option<Recorded>,
-    until: Millis,
+    expires: Millis,
 }
 
 /// The keys of one shard.
 #[derive(Debug, Default)]
-pub struct Ledger {
-    slots: HashMap<(id::Account, String), Slot>,
+pub struct Claims {
+    claims: HashMap<(id::Account, String), Claim>,
 }
 
-impl Ledger {
+impl Claims {
     /// Gives the key to `request` if it is free. The same request may ask twice.
     pub fn open(&mut self, account: &id::Account, key: &str, request: id::Request, now: Millis) -> Claimed {
-        let at = (account.clone(), key.to_owned());
-        if self.slots.len() >= KEYS_MAX && !self.slots.contains_key(&at) {
-            self.sweep(now);
-            if self.slots.len() >= KEYS_MAX {
+        let index = (account.clone(), key.to_owned());
+        if self.claims.len() >= MAX_KEYS && !self.claims.contains_key(&index) {
+            self.evict_expired(now);
+            if self.claims.len() >= MAX_KEYS {
                 return Claimed::Running;
             }
         }
-        let free = Slot { request, recorded: None, until: now + HORIZON };
-        let slot = self.slots.entry(at).or_insert_with(|| free.clone());
-        if slot.until <= now {
-            *slot = free;
+        let new_claim = Claim { request, recorded: None, expires: now + KEY_TTL };
+        let claim = self.claims.entry(index).or_insert_with(|| new_claim.clone());
+        if claim.expires <= now {
+            *claim = new_claim;
         }
-        match &slot.recorded {
-            _ if slot.request == request => Claimed::First,
+        match &claim.recorded {
+            _ if claim.request == request => Claimed::First,
             Some(recorded) => Claimed::Done(recorded.clone()),
             None => Claimed::Running,
         }
@@ -106,40 +110,40 @@
         outcome: Recorded,
         now: Millis,
     ) {
-        let at = (account.clone(), key.to_owned());
+        let index = (account.clone(), key.to_owned());
         if outcome == Recorded::NotRun {
-            if self.slots.get(&at).is_some_and(|slot| slot.request == request) {
-                self.slots.remove(&at);
+            if self.claims.get(&index).is_some_and(|claim| claim.request == request) {
+                self.claims.remove(&index);
             }
             return;
         }
-        let closed = Slot { request, recorded: Some(outcome), until: now + HORIZON };
-        let slot = self.slots.entry(at).or_insert_with(|| closed.clone());
-        if slot.request == request {
-            *slot = closed;
+        let closed_claim = Claim { request, recorded: Some(outcome), expires: now + KEY_TTL };
+        let claim = self.claims.entry(index).or_insert_with(|| closed_claim.clone());
+        if claim.request == request {
+            *claim = closed_claim;
         }
     }
 
     /// Forgets keys beyond the horizon.
-    pub fn sweep(&mut self, now: Millis) {
-        self.slots.retain(|_, slot| slot.until > now);
+    pub fn evict_expired(&mut self, now: Millis) {
+        self.claims.retain(|_, claim| claim.expires > now);
     }
 
     /// How many keys are remembered.
     pub fn len(&self) -> usize {
-        self.slots.len()
+        self.claims.len()
     }
 
     /// Whether no key is remembered.
     pub fn is_empty(&self) -> bool {
-        self.slots.is_empty()
+        self.claims.is_empty()
     }
 }
 
 /// The nodes that own a key, best first.
 pub fn find_owners<'a>(account: &id::Account, key: &str, nodes: &'a [view::Node]) -> Vec<&'a view::Node> {
     let key = format!("{account}/{key}");
-    let names = pick_owners(&key, nodes.iter().map(|node| &node.id), OWNERS);
+    let names = pick_owners(&key, nodes.iter().map(|node| &node.id), OWNERS_PER_KEY);
     names.into_iter().filter_map(|name| nodes.iter().find(|node| node.id == *name)).collect()
 }
 
@@ -153,32 +157,32 @@
 
     #[test]
     fn only_the_first_request_gets_the_key() {
-        let mut ledger = Ledger::default();
+        let mut claims = Claims::default();
         let (one, two) = (id::Request(1), id::Request(2));
-        assert_eq!(ledger.open(&account(), "k", one, Millis(0)), Claimed::First);
-        assert_eq!(ledger.open(&account(), "k", two, Millis(1)), Claimed::Running);
-        ledger.close(&account(), "k", one, Recorded::MayHaveRun, Millis(2));
-        assert_eq!(ledger.open(&account(), "k", two, Millis(3)), Claimed::Done(Recorded::MayHaveRun));
+        assert_eq!(claims.open(&account(), "k", one, Millis(0)), Claimed::First);
+        assert_eq!(claims.open(&account(), "k", two, Millis(1)), Claimed::Running);
+        claims.close(&account(), "k", one, Recorded::MayHaveRun, Millis(2));
+        assert_eq!(claims.open(&account(), "k", two, Millis(3)), Claimed::Done(Recorded::MayHaveRun));
     }
 
     #[test]
     fn a_request_that_did_not_run_frees_its_key_and_no_other() {
-        let mut ledger = Ledger::default();
+        let mut claims = Claims::default();
         let (one, two) = (id::Request(1), id::Request(2));
-        ledger.open(&account(), "k", one, Millis(0));
-        ledger.close(&account(), "k", two, Recorded::NotRun, Millis(1));
-        assert_eq!(ledger.open(&account(), "k", two, Millis(2)), Claimed::Running);
-        ledger.close(&account(), "k", one, Recorded::NotRun, Millis(3));
-        assert_eq!(ledger.open(&account(), "k", two, Millis(4)), Claimed::First);
+        claims.open(&account(), "k", one, Millis(0));
+        claims.close(&account(), "k", two, Recorded::NotRun, Millis(1));
+        assert_eq!(claims.open(&account(), "k", two, Millis(2)), Claimed::Running);
+        claims.close(&account(), "k", one, Recorded::NotRun, Millis(3));
+        assert_eq!(claims.open(&account(), "k", two, Millis(4)), Claimed::First);
     }
 
     #[test]
     fn keys_are_forgotten_after_the_horizon() {
-        let mut ledger = Ledger::default();
-        ledger.open(&account(), "k", id::Request(1), Millis(0));
-        assert_eq!(ledger.open(&account(), "k", id::Request(2), HORIZON), Claimed::First);
-        ledger.sweep(HORIZON + HORIZON);
-        assert!(ledger.is_empty());
+        let mut claims = Claims::default();
+        claims.open(&account(), "k", id::Request(1), Millis(0));
+        assert_eq!(claims.open(&account(), "k", id::Request(2), KEY_TTL), Claimed::First);
+        claims.evict_expired(KEY_TTL + KEY_TTL);
+        assert!(claims.is_empty());
     }
 
     fn node(n: usize, since: u64) -> view::Node {
@@ -195,17 +199,17 @@
         let (old, old_too, young) = (node(0, 0), node(1, 0), node(2, now.0 - 5));
         let nodes = [old.clone(), old_too.clone(), young.clone()];
         let first = || Some(Claimed::First);
-        assert_eq!(judge(&[(&old, first()), (&young, first())], &nodes, now), Verdict::Run);
-        assert_eq!(judge(&[(&old, None), (&young, first())], &nodes, now), Verdict::Unsure);
-        assert_eq!(judge(&[(&old, first()), (&old_too, None)], &nodes, now), Verdict::Run);
+        assert_eq!(resolve_claims(&[(&old, first()), (&young, first())], &nodes, now), Verdict::Run);
+        assert_eq!(resolve_claims(&[(&old, None), (&young, first())], &nodes, now), Verdict::Unsure);
+        assert_eq!(resolve_claims(&[(&old, first()), (&old_too, None)], &nodes, now), Verdict::Run);
         assert_eq!(
-            judge(&[(&old, first()), (&young, Some(Claimed::Running))], &nodes, now),
+            resolve_claims(&[(&old, first()), (&young, Some(Claimed::Running))], &nodes, now),
             Verdict::Running
         );
         let fresh = [young.clone(), node(3, now.0)];
-        assert_eq!(judge(&[(&fresh[0], first()), (&fresh[1], first())], &fresh, now), Verdict::Run);
-        assert_eq!(judge(&[(&fresh[0], first()), (&fresh[1], None)], &fresh, now), Verdict::Unsure);
-        assert_eq!(judge(&[], &[], now), Verdict::Unsure);
+        assert_eq!(resolve_claims(&[(&fresh[0], first()), (&fresh[1], first())], &fresh, now), Verdict::Run);
+        assert_eq!(resolve_claims(&[(&fresh[0], first()), (&fresh[1], None)], &fresh, now), Verdict::Unsure);
+        assert_eq!(resolve_claims(&[], &[], now), Verdict::Unsure);
     }
 
     #[test]
--- a/crates/kernel/src/command.rs
+++ b/crates/kernel/src/command.rs
@@ -114,7 +114,7 @@
     /// The line.
     pub line: String,
     /// Where the word starts, in bytes.
-    pub at: usize,
+    pub offset: usize,
     /// What is wrong with it.
     pub problem: Problem,
 }
@@ -130,19 +130,19 @@
     Expected(&'static str),
     /// The word cannot be read as what it should be.
     #[error("{0}")]
-    Value(String),
+    InvalidValue(String),
     /// The line goes on after its end.
     #[error("nothing may follow here")]
-    Rest,
+    TrailingWords,
     /// A quote is not closed, or a character is not allowed.
     #[error("this is not a word")]
-    Word,
+    InvalidWord,
 }
 
 impl fmt::Display for CommandError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(f, "{}", self.line)?;
-        let column = self.line[..self.at].chars().count();
+        let column = self.line[..self.offset].chars().count();
         write!(f, "{:column$}^ {}", "", self.problem)
     }
 }
@@ -150,102 +150,109 @@
 #[derive(Clone, Copy, Debug)]
 struct Word<'a> {
     text: &'a str,
-    at: usize,
+    offset: usize,
 }
 
-fn word<'a>(input: &mut LocatingSlice<&'a str>) -> ModalResult<Word<'a>> {
+fn parse_word<'a>(input: &mut LocatingSlice<&'a str>) -> ModalResult<Word<'a>> {
     let quoted = delimited('"', take_while(0.., |c| c != '"'), '"');
     let plain = take_while(1.., |c: char| !c.is_whitespace() && c != '"' && c != '#');
-    alt((quoted, plain)).with_span().map(|(text, span)| Word { text, at: span.start }).parse_next(input)
+    alt((quoted, plain)).with_span().map(|(text, span)| Word { text, offset: span.start }).parse_next(input)
 }
 
 fn split_words(line: &str) -> Result<Vec<Word<'_>>, CommandError> {
     let mut input = LocatingSlice::new(line);
-    let words: ModalResult<Vec<Word>> = repeat(0.., preceded(multispace0, word)).parse_next(&mut input);
+    let words: ModalResult<Vec<Word>> = repeat(0.., preceded(multispace0, parse_word)).parse_next(&mut input);
     let words = words.unwrap_or_default();
     let rest = input.trim_start();
     if rest.is_empty() || rest.starts_with('#') {
         return Ok(words);
     }
-    Err(CommandError { line: line.to_owned(), at: line.len() - rest.len(), problem: Problem::Word })
+    Err(CommandError {
+        line: line.to_owned(),
+        offset: line.len() - rest.len(),
+        problem: Problem::InvalidWord,
+    })
 }
 
 struct Cursor<'a> {
     line: &'a str,
     words: Vec<Word<'a>>,
-    next: usize,
+    position: usize,
 }
 
 impl<'a> Cursor<'a> {
-    fn error(&self, at: usize, problem: Problem) -> CommandError {
-        let at = self.words.get(at).map_or(self.line.len(), |word| word.at);
-        CommandError { line: self.line.to_owned(), at, problem }
+    fn error(&self, index: usize, problem: Problem) -> CommandError {
+        let offset = self.words.get(index).map_or(self.line.len(), |word| word.offset);
+        CommandError { line: self.line.to_owned(), offset, problem }
     }
 
     fn peek(&self) -> Option<&'a str> {
-        self.words.get(self.next).map(|word| word.text)
+        self.words.get(self.position).map(|word| word.text)
     }
 
-    fn text(&mut self, what: &'static str) -> Result<&'a str, CommandError> {
-        let text = self.peek().ok_or_else(|| self.error(self.next, Problem::Missing(what)))?;
-        self.next += 1;
+    fn next_text(&mut self, what: &'static str) -> Result<&'a str, CommandError> {
+        let text = self.peek().ok_or_else(|| self.error(self.position, Problem::Missing(what)))?;
+        self.position += 1;
         Ok(text)
     }
 
-    fn value<T: FromStr<Err: fmt::Display>>(&mut self, what: &'static str) -> Result<T, CommandError> {
-        let text = self.text(what)?;
-        text.parse().map_err(|e: T::Err| self.error(self.next - 1, Problem::Value(e.to_string())))
+    fn parse_value<T: FromStr<Err: fmt::Display>>(&mut self, what: &'static str) -> Result<T, CommandError> {
+        let text = self.next_text(what)?;
+        text.parse().map_err(|e: T::Err| self.error(self.position - 1, Problem::InvalidValue(e.to_string())))
     }
 
-    fn list<T: FromStr<Err: fmt::Display>>(&mut self, what: &'static str) -> Result<Vec<T>, CommandError> {
-        let text = self.text(what)?;
+    fn parse_list<T: FromStr<Err: fmt::Display>>(
+        &mut self,
+        what: &'static str,
+    ) -> Result<Vec<T>, CommandError> {
+        let text = self.next_text(what)?;
         let parsed: Result<Vec<T>, T::Err> = text.split(',').map(str::parse).collect();
-        parsed.map_err(|e| self.error(self.next - 1, Problem::Value(e.to_string())))
+        parsed.map_err(|e| self.error(self.position - 1, Problem::InvalidValue(e.to_string())))
     }
 
-    fn keyword(&mut self, word: &'static str) -> Result<(), CommandError> {
-        if self.optional(word) {
+    fn expect_keyword(&mut self, word: &'static str) -> Result<(), CommandError> {
+        if self.accept_keyword(word) {
             return Ok(());
         }
         Err(match self.peek() {
-            Some(_) => self.error(self.next, Problem::Expected(word)),
-            None => self.error(self.next, Problem::Missing(word)),
+            Some(_) => self.error(self.position, Problem::Expected(word)),
+            None => self.error(self.position, Problem::Missing(word)),
         })
     }
 
-    fn optional(&mut self, word: &str) -> bool {
+    fn accept_keyword(&mut self, word: &str) -> bool {
         let found = self.peek() == Some(word);
-        self.next += usize::from(found);
+        self.position += usize::from(found);
         found
     }
 
-    fn end(&self) -> Result<(), CommandError> {
+    fn expect_end(&self) -> Result<(), CommandError> {
         match self.peek() {
             None => Ok(()),
-            Some(_) => Err(self.error(self.next, Problem::Rest)),
+            Some(_) => Err(self.error(self.position, Problem::TrailingWords)),
         }
     }
 }
 
 /// Reads one line; none if it is empty or a comment.
 pub fn parse_line(line: &str) -> Result<Option<Command>, CommandError> {
-    let mut cursor = Cursor { line, words: split_words(line)?, next: 0 };
+    let mut cursor = Cursor { line, words: split_words(line)?, position: 0 };
     if cursor.words.is_empty() {
         return Ok(None);
     }
     let command = parse_command(&mut cursor)?;
-    cursor.end()?;
+    cursor.expect_end()?;
     Ok(Some(command))
 }
 
 fn parse_command(cursor: &mut Cursor) -> Result<Command, CommandError> {
-    if cursor.optional("show") {
+    if cursor.accept_keyword("show") {
         return parse_show(cursor).map(Command::Show);
     }
-    if cursor.optional("explain") {
+    if cursor.accept_keyword("explain") {
         return parse_target(cursor).map(Command::Explain);
     }
-    if cursor.optional("plan") {
+    if cursor.accept_keyword("plan") {
         return parse_change(cursor).map(Command::Plan);
     }
     parse_change(cursor).map(Command::Change)
@@ -253,10 +260,10 @@
 
 fn parse_change(cursor: &mut Cursor) -> Result<Change, CommandError> {
     let verb = parse_verb(cursor)?;
-    let condition = match cursor.optional("if") {
+    let condition = match cursor.accept_keyword("if") {
         true => {
-            cursor.keyword("revision")?;
-            Some(cursor.value("a revision")?)
+            cursor.expect_keyword("revision")?;
+            Some(cursor.parse_value("a revision")?)
         }
         false => None,
     };
@@ -265,34 +272,34 @@
 
 fn parse_verb(cursor: &mut Cursor) -> Result<Verb, CommandError> {
     const VERBS: &str = "create, delete, drain, undrain, show, explain or plan";
-    match cursor.text("a command")? {
+    match cursor.next_text("a command")? {
         "create" => parse_create(cursor),
         "delete" => {
-            let kind: Kind = cursor.value("a kind")?;
-            Ok(Verb::Delete(Key::new(kind, cursor.text("a name")?)))
+            let kind: Kind = cursor.parse_value("a kind")?;
+            Ok(Verb::Delete(Key::new(kind, cursor.next_text("a name")?)))
         }
         verb @ ("drain" | "undrain") => {
-            cursor.keyword("runner")?;
-            Ok(Verb::Drain { runner: cursor.value("a runner")?, drained: verb == "drain" })
+            cursor.expect_keyword("runner")?;
+            Ok(Verb::Drain { runner: cursor.parse_value("a runner")?, drained: verb == "drain" })
         }
-        _ => Err(cursor.error(cursor.next - 1, Problem::Expected(VERBS))),
+        _ => Err(cursor.error(cursor.position - 1, Problem::Expected(VERBS))),
     }
 }
 
 fn parse_create(cursor: &mut Cursor) -> Result<Verb, CommandError> {
-    let kind: Kind = cursor.value("a kind")?;
+    let kind: Kind = cursor.parse_value("a kind")?;
     // Every name has the same rules, whatever it names.
-    let name: id::Group = cursor.value("a name")?;
+    let name: id::Group = cursor.parse_value("a name")?;
     let entry = match kind {
         Kind::Domain => {
-            cursor.keyword("hall")?;
-            Entry::Domain { hall: cursor.value("a hall")? }
+            cursor.expect_keyword("hall")?;
+            Entry::Domain { hall: cursor.parse_value("a hall")? }
         }
         Kind::Runner => parse_runner(cursor)?,
         Kind::Group => parse_group(cursor)?,
         Kind::Service => {
-            cursor.keyword("addresses")?;
-            Entry::Service { addresses: cursor.list("addresses")? }
+            cursor.expect_keyword("addresses")?;
+            Entry::Service { addresses: cursor.parse_list("addresses")? }
         }
         Kind::Account => parse_account(cursor)?,
     };
@@ -300,30 +307,30 @@
 }
 
 fn parse_runner(cursor: &mut Cursor) -> Result<Entry, CommandError> {
-    cursor.keyword("domain")?;
-    let domain = cursor.value("a domain")?;
-    cursor.keyword("address")?;
-    let address = cursor.value("an address")?;
-    let fence = match cursor.optional("fence") {
+    cursor.expect_keyword("domain")?;
+    let domain = cursor.parse_value("a domain")?;
+    cursor.expect_keyword("address")?;
+    let address = cursor.parse_value("an address")?;
+    let fence = match cursor.accept_keyword("fence") {
         false => Fence::Checked,
-        true => match cursor.text("checked or unchecked")? {
+        true => match cursor.next_text("checked or unchecked")? {
             "checked" => Fence::Checked,
             "unchecked" => Fence::Unchecked,
-            _ => return Err(cursor.error(cursor.next - 1, Problem::Expected("checked or unchecked"))),
+            _ => return Err(cursor.error(cursor.position - 1, Problem::Expected("checked or unchecked"))),
         },
     };
     Ok(Entry::Runner { domain, address, fence, drained: false })
 }
 
 fn parse_group(cursor: &mut Cursor) -> Result<Entry, CommandError> {
-    cursor.keyword("domain")?;
-    let domain = cursor.value("a domain")?;
-    cursor.keyword("model")?;
-    let model = cursor.value("a model")?;
-    cursor.keyword("size")?;
-    let size = cursor.value("a size")?;
-    let accounts = match cursor.optional("accounts") {
-        true => cursor.list("accounts")?,
+    cursor.expect_keyword("domain")?;
+    let domain = cursor.parse_value("a domain")?;
+    cursor.expect_keyword("model")?;
+    let model = cursor.parse_value("a model")?;
+    cursor.expect_keyword("size")?;
+    let size = cursor.parse_value("a size")?;
+    let accounts = match cursor.accept_keyword("accounts") {
+        true => cursor.parse_list("accounts")?,
         false => Vec::new(),
     };
     Ok(Entry::Group { domain, model, size, accounts })
@@ -333,16 +340,16 @@
 const DEFAULT_LIMIT: u32 = 1000;
 
 fn parse_account(cursor: &mut Cursor) -> Result<Entry, CommandError> {
-    cursor.keyword("token")?;
-    let token = cursor.text("a token")?.to_owned();
-    let share = if cursor.optional("share") { cursor.value("a share")? } else { 1 };
-    let limit = if cursor.optional("limit") { cursor.value("a limit")? } else { DEFAULT_LIMIT };
+    cursor.expect_keyword("token")?;
+    let token = cursor.next_text("a token")?.to_owned();
+    let share = if cursor.accept_keyword("share") { cursor.parse_value("a share")? } else { 1 };
+    let limit = if cursor.accept_keyword("limit") { cursor.parse_value("a limit")? } else { DEFAULT_LIMIT };
     Ok(Entry::Account { token, share, limit })
 }
 
 fn parse_show(cursor: &mut Cursor) -> Result<Show, CommandError> {
     const SUBJECTS: &str = "groups, runners, nodes, services, accounts, domains or halls";
-    let subject = match cursor.text(SUBJECTS)? {
+    let subject = match cursor.next_text(SUBJECTS)? {
         "groups" => Subject::Groups,
         "runners" | "boxes" => Subject::Runners,
         "nodes" => Subject::Nodes,
@@ -350,28 +357,28 @@
         "accounts" => Subject::Accounts,
         "domains" => Subject::Domains,
         "halls" => Subject::Halls,
-        _ => return Err(cursor.error(cursor.next - 1, Problem::Expected(SUBJECTS))),
+        _ => return Err(cursor.error(cursor.position - 1, Problem::Expected(SUBJECTS))),
     };
-    let filter = match cursor.optional("where") {
-        true => Some((cursor.text("a column")?.to_owned(), cursor.text("a value")?.to_owned())),
+    let filter = match cursor.accept_keyword("where") {
+        true => Some((cursor.next_text("a column")?.to_owned(), cursor.next_text("a value")?.to_owned())),
         false => None,
     };
-    let order = match cursor.optional("order") {
-        true => Some(cursor.text("a column")?.to_owned()),
+    let order = match cursor.accept_keyword("order") {
+        true => Some(cursor.next_text("a column")?.to_owned()),
         false => None,
     };
-    let columns = match cursor.optional("columns") {
-        true => cursor.list("columns")?,
+    let columns = match cursor.accept_keyword("columns") {
+        true => cursor.parse_list("columns")?,
         false => Vec::new(),
     };
     Ok(Show { subject, filter, order, columns })
 }
 
 fn parse_target(cursor: &mut Cursor) -> Result<Target, CommandError> {
-    match cursor.text("group or runner")? {
-        "group" => Ok(Target::Group(cursor.value("a group")?)),
-        "runner" | "box" => Ok(Target::Runner(cursor.value("a runner")?)),
-        _ => Err(cursor.error(cursor.next - 1, Problem::Expected("group or runner"))),
+    match cursor.next_text("group or runner")? {
+        "group" => Ok(Target::Group(cursor.parse_value("a group")?)),
+        "runner" | "box" => Ok(Target::Runner(cursor.parse_value("a runner")?)),
+        _ => Err(cursor.error(cursor.position - 1, Problem::Expected("group or runner"))),
     }
 }
 
@@ -413,19 +420,19 @@
     #[test]
     fn errors_point_at_the_word() {
         let error = parse_line("create group g1 domain d1 model m size many").unwrap_err();
-        assert_eq!(error.at, 39);
+        assert_eq!(error.offset, 39);
         let error = parse_line("show grups").unwrap_err();
         assert_eq!(
-            (error.at, &error.problem),
+            (error.offset, &error.problem),
             (5, &Problem::Expected("groups, runners, nodes, services, accounts, domains or halls"))
         );
         let error = parse_line("drain runner").unwrap_err();
-        assert_eq!((error.at, error.problem), (12, Problem::Missing("a runner")));
+        assert_eq!((error.offset, error.problem), (12, Problem::Missing("a runner")));
         let error = parse_line("drain runner r1 now").unwrap_err();
-        assert_eq!((error.at, error.problem), (16, Problem::Rest));
+        assert_eq!((error.offset, error.problem), (16, Problem::TrailingWords));
         assert_matches!(
             parse_line("delete runner \"r1"),
-            Err(CommandError { at: 14, problem: Problem::Word, .. })
+            Err(CommandError { offset: 14, problem: Problem::InvalidWord, .. })
         );
     }
 
--- a/crates/kernel/src/config.rs
+++ b/crates/kernel/src/config.rs
@@ -159,7 +159,7 @@
 
 /// An entry with the revision that last changed it; none once it was deleted.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Slot {
+pub struct VersionedEntry {
     /// The revision that last changed the entry.
     pub revision: id::Revision,
     /// The entry, or none when that revision deleted it.
@@ -175,7 +175,8 @@
     pub writes: VecDeque<(id::Revision, id::Proposal)>,
     /// Deltas reach back to this revision; deletions before it are forgotten.
     pub floor: id::Revision,
-    slots: BTreeMap<Key, Slot>,
+    #[serde(rename = "slots")]
+    entries: BTreeMap<Key, VersionedEntry>,
 }
 
 /// What changed above a revision.
@@ -189,8 +190,9 @@
     pub writes: VecDeque<(id::Revision, id::Proposal)>,
     /// The floor of the document it came from.
     pub floor: id::Revision,
-    /// Every slot above `base`.
-    pub slots: Vec<(Key, Slot)>,
+    /// Every versioned above `base`.
+    #[serde(rename = "slots")]
+    pub entries: Vec<(Key, VersionedEntry)>,
 }
 
 /// A change that is refused. The configuration stays as it was.
@@ -222,7 +224,7 @@
     #[error("group {0} needs a size of at least 1")]
     Size(String),
     /// Two accounts with one token.
-    #[error("the token of {key} is taken by {other}")]
+    #[error("the token of {key} is conflict by {other}")]
     Token {
         /// The entry.
         key: String,
@@ -240,39 +242,41 @@
 }
 
 /// How many writes are remembered, by which a lost answer is recognised.
-pub const WRITES: usize = 16;
+pub const MAX_WRITES: usize = 16;
 
 /// How many revisions a deleted entry is remembered.
-pub const TOMBSTONES: u64 = 256;
+pub const TOMBSTONE_REVISIONS: u64 = 256;
 
 impl Document {
     /// The entry under `key`.
     pub fn get(&self, key: &Key) -> Option<&Entry> {
-        self.slots.get(key)?.entry.as_ref()
+        self.entries.get(key)?.entry.as_ref()
     }
 
     /// The revision that last changed the entry under `key`.
-    pub fn changed(&self, key: &Key) -> Option<id::Revision> {
-        self.slots.get(key).map(|slot| slot.revision)
+    pub fn last_changed(&self, key: &Key) -> Option<id::Revision> {
+        self.entries.get(key).map(|versioned| versioned.revision)
     }
 
     /// Every entry with its name, in the order of the document.
-    pub fn entries(&self) -> impl Iterator<Item = (&Key, &Entry)> {
-        self.slots.iter().filter_map(|(key, slot)| Some((key, slot.entry.as_ref()?)))
+    pub fn list_entries(&self) -> impl Iterator<Item = (&Key, &Entry)> {
+        self.entries.iter().filter_map(|(key, versioned)| Some((key, versioned.entry.as_ref()?)))
     }
 
     /// The entries of one kind.
-    pub fn of(&self, kind: Kind) -> impl Iterator<Item = (&str, &Entry)> {
-        self.entries().filter(move |(key, _)| key.kind == kind).map(|(key, entry)| (key.name.as_str(), entry))
+    pub fn list_kind(&self, kind: Kind) -> impl Iterator<Item = (&str, &Entry)> {
+        self.list_entries()
+            .filter(move |(key, _)| key.kind == kind)
+            .map(|(key, entry)| (key.name.as_str(), entry))
     }
 
     /// The revision that a write made, if it took effect not long ago.
-    pub fn made_by(&self, proposal: id::Proposal) -> Option<id::Revision> {
-        self.writes.iter().find(|(_, made)| *made == proposal).map(|(revision, _)| *revision)
+    pub fn find_write(&self, proposal: id::Proposal) -> Option<id::Revision> {
+        self.writes.iter().find(|(_, written)| *written == proposal).map(|(revision, _)| *revision)
     }
 
     /// The hall of a domain.
-    pub fn hall_of(&self, domain: &id::Domain) -> Option<&id::Hall> {
+    pub fn find_hall(&self, domain: &id::Domain) -> Option<&id::Hall> {
         match self.get(&Key::new(Kind::Domain, domain))? {
             Entry::Domain { hall } => Some(hall),
             _ => None,
@@ -293,42 +297,42 @@
         let mut next = self.clone();
         next.revision = self.revision.next();
         // The changes of one batch are one write.
-        next.writes.retain(|(_, made)| *made != proposal);
+        next.writes.retain(|(_, written)| *written != proposal);
         next.writes.push_back((next.revision, proposal));
-        if next.writes.len() > WRITES {
+        if next.writes.len() > MAX_WRITES {
             next.writes.pop_front();
         }
-        next.floor = id::Revision(next.floor.0.max(next.revision.0.saturating_sub(TOMBSTONES)));
-        next.slots.insert(key, Slot { revision: next.revision, entry });
-        next.slots.retain(|_, slot| slot.entry.is_some() || slot.revision > next.floor);
+        next.floor = id::Revision(next.floor.0.max(next.revision.0.saturating_sub(TOMBSTONE_REVISIONS)));
+        next.entries.insert(key, VersionedEntry { revision: next.revision, entry });
+        next.entries.retain(|_, versioned| versioned.entry.is_some() || versioned.revision > next.floor);
         Ok(next)
     }
 
     /// What a holder of `base` lacks; the whole document when `base` lies below the floor.
     pub fn delta(&self, base: id::Revision) -> Delta {
         let base = if base < self.floor { id::Revision(0) } else { base };
-        let slots = self.slots.iter().filter(|(_, slot)| slot.revision > base);
+        let entries = self.entries.iter().filter(|(_, versioned)| versioned.revision > base);
         Delta {
             base,
             revision: self.revision,
             writes: self.writes.clone(),
             floor: self.floor,
-            slots: slots.map(|(key, slot)| (key.clone(), slot.clone())).collect(),
+            entries: entries.map(|(key, entry)| (key.clone(), entry.clone())).collect(),
         }
     }
 
     /// Moves to the delta's revision if that is higher and the delta fits.
     ///
     /// Returns whether the document changed. It never goes to a lower revision.
-    pub fn adopt(&mut self, delta: Delta) -> bool {
+    pub fn apply(&mut self, delta: Delta) -> bool {
         if delta.revision <= self.revision || delta.base > self.revision {
             return false;
         }
         if delta.base == id::Revision(0) {
-            self.slots.clear();
+            self.entries.clear();
         }
-        self.slots.extend(delta.slots);
-        self.slots.retain(|_, slot| slot.entry.is_some() || slot.revision > delta.floor);
+        self.entries.extend(delta.entries);
+        self.entries.retain(|_, versioned| versioned.entry.is_some() || versioned.revision > delta.floor);
         self.revision = delta.revision;
         self.writes = delta.writes;
         self.floor = delta.floor;
@@ -337,28 +341,29 @@
 }
 
 fn check_entry(document: &Document, key: &Key, entry: &Entry) -> Result<(), ChangeError> {
-    let need = |kind, name: &dyn fmt::Display| {
-        let needed = Key::new(kind, name);
-        match document.get(&needed) {
+    let check_exists = |kind, name: &dyn fmt::Display| {
+        let required = Key::new(kind, name);
+        match document.get(&required) {
             Some(_) => Ok(()),
-            None => Err(ChangeError::Dangling { key: key.to_string(), needs: needed.to_string() }),
+            None => Err(ChangeError::Dangling { key: key.to_string(), needs: required.to_string() }),
         }
     };
     match entry {
         Entry::Domain { .. } | Entry::Service { .. } => Ok(()),
-        Entry::Runner { domain, .. } => need(Kind::Domain, domain),
+        Entry::Runner { domain, .. } => check_exists(Kind::Domain, domain),
         Entry::Group { domain, size, accounts, .. } => {
             if *size == 0 {
                 return Err(ChangeError::Size(key.name.clone()));
             }
-            need(Kind::Domain, domain)?;
-            accounts.iter().try_for_each(|account| need(Kind::Account, account))
+            check_exists(Kind::Domain, domain)?;
+            accounts.iter().try_for_each(|account| check_exists(Kind::Account, account))
         }
         Entry::Account { token, .. } => {
-            let taken = document.of(Kind::Account).find(|(name, other)| {
-                *name != key.name && matches!(other, Entry::Account { token: theirs, .. } if theirs == token)
+            let conflict = document.list_kind(Kind::Account).find(|(name, other)| {
+                *name != key.name
+                    && matches!(other, Entry::Account { token: other_token, .. } if other_token == token)
             });
-            match taken {
+            match conflict {
                 Some((other, _)) => Err(ChangeError::Token {
                     key: key.to_string(),
                     other: Key::new(Kind::Account, other).to_string(),
@@ -380,7 +385,7 @@
         (Kind::Account, Entry::Group { accounts, .. }) => accounts.iter().any(|a| a.as_str() == key.name),
         _ => false,
     };
-    match document.entries().find(|(_, entry)| uses(entry)) {
+    match document.list_entries().find(|(_, entry)| uses(entry)) {
         Some((user, _)) => Err(ChangeError::Used { key: key.to_string(), user: user.to_string() }),
         None => Ok(()),
     }
@@ -405,9 +410,9 @@
         let two = one.change(domain("d2"), hall("b"), id::Proposal(2)).unwrap();
         let three = two.change(domain("d1"), None, id::Proposal(3)).unwrap();
         let mut holder = one.clone();
-        assert!(holder.adopt(three.delta(holder.revision)));
+        assert!(holder.apply(three.delta(holder.revision)));
         assert_eq!(holder, three);
-        assert!(!holder.adopt(two.delta(id::Revision(0))), "a lower revision is never adopted");
+        assert!(!holder.apply(two.delta(id::Revision(0))), "a lower revision is never adopted");
         assert_eq!(holder, three);
     }
 
@@ -416,11 +421,11 @@
         let mut document = Document::default().change(domain("gone"), hall("a"), id::Proposal(0)).unwrap();
         let old = document.clone();
         document = document.change(domain("gone"), None, id::Proposal(1)).unwrap();
-        for n in 0..TOMBSTONES + 2 {
+        for n in 0..TOMBSTONE_REVISIONS + 2 {
             document = document.change(domain("d"), hall("a"), id::Proposal(n)).unwrap();
         }
         let mut holder = old;
-        assert!(holder.adopt(document.delta(holder.revision)));
+        assert!(holder.apply(document.delta(holder.revision)));
         assert_eq!(holder, document);
     }
 
@@ -433,8 +438,8 @@
             size: 2,
             accounts: Vec::new(),
         };
-        let refused = document.change(Key::new(Kind::Group, "g"), Some(group.clone()), id::Proposal(1));
-        assert_matches!(refused, Err(ChangeError::Dangling { .. }));
+        let rejected = document.change(Key::new(Kind::Group, "g"), Some(group.clone()), id::Proposal(1));
+        assert_matches!(rejected, Err(ChangeError::Dangling { .. }));
         let document = document.change(domain("d1"), hall("a"), id::Proposal(2)).unwrap();
         let document = document.change(Key::new(Kind::Group, "g"), Some(group), id::Proposal(3)).unwrap();
         assert_matches!(document.change(domain("d1"), None, id::Proposal(4)), Err(ChangeError::Used { .. }));
--- a/crates/kernel/src/decide.rs
+++ b/crates/kernel/src/decide.rs
@@ -10,7 +10,7 @@
 
 use crate::clock::Millis;
 use crate::config::{self, Entry, Fence, Kind};
-use crate::domain::{Action, Cause, Document, Event, Group, Passed, Phase, Place, Quarantine};
+use crate::domain::{Action, Alternative, Cause, Document, Event, Group, Phase, Placement, Quarantine};
 use crate::engine::{Order, Role};
 use crate::evidence::{Evidence, Runner};
 use crate::id;
@@ -56,7 +56,7 @@
     /// The group.
     pub group: id::Group,
     /// The ways there would be and why none is taken.
-    pub passed: Vec<Passed>,
+    pub passed: Vec<Alternative>,
 }
 
 /// A runner as the configuration gives it.
@@ -102,11 +102,11 @@
 }
 
 /// Runners that may take a place now, warm ones for `model` first.
-fn list_spares(view: &View, model: &id::Model) -> Vec<Place> {
-    let mut spares: Vec<(bool, Place)> = Vec::new();
-    for (name, _) in view.config.of(Kind::Runner) {
+fn list_spares(view: &View, model: &id::Model) -> Vec<Placement> {
+    let mut spares: Vec<(bool, Placement)> = Vec::new();
+    for (name, _) in view.config.list_kind(Kind::Runner) {
         let Ok(runner) = name.parse::<id::Runner>() else { continue };
-        if view.document.group_of(&runner).is_some() || view.document.quarantine.contains_key(&runner) {
+        if view.document.find_group(&runner).is_some() || view.document.quarantine.contains_key(&runner) {
             continue;
         }
         let Some(place) = usable(view, &runner) else { continue };
@@ -118,14 +118,14 @@
 }
 
 /// The place that the runner could take in its present life.
-fn usable(view: &View, runner: &id::Runner) -> Option<Place> {
+fn usable(view: &View, runner: &id::Runner) -> Option<Placement> {
     let given = given(view, runner)?;
     let known = given.known?;
     if given.drained || known.is_leaving() || !known.answers(view.now) {
         return None;
     }
     let incarnation = known.seen.as_ref()?.incarnation;
-    Some(Place { runner: runner.clone(), incarnation })
+    Some(Placement { runner: runner.clone(), incarnation })
 }
 
 fn is_leaving(view: &View, runner: &id::Runner) -> bool {
@@ -144,7 +144,7 @@
     }
 }
 
-fn event(view: &View, group: &id::Group, action: Action, cause: Cause, passed: Vec<Passed>) -> Event {
+fn event(view: &View, group: &id::Group, action: Action, cause: Cause, passed: Vec<Alternative>) -> Event {
     Event {
         at: view.now,
         by: view.me.clone(),
@@ -152,7 +152,7 @@
         generation: view.document.generation.next(),
         action,
         cause,
-        passed,
+        alternatives: passed,
     }
 }
 
@@ -206,7 +206,7 @@
     if let Some(group) = document.groups.get_mut(name) {
         group.phase = Phase::Drain;
     }
-    document.record(event(view, name, Action::Drain, cause, Vec::new()));
+    document.record_event(event(view, name, Action::Drain, cause, Vec::new()));
     document
 }
 
@@ -238,17 +238,17 @@
         })
 }
 
-fn dissolve(view: &View, name: &id::Group, cause: Cause, passed: Vec<Passed>) -> Document {
+fn dissolve(view: &View, name: &id::Group, cause: Cause, passed: Vec<Alternative>) -> Document {
     let mut document = view.document.clone();
     document.generation = document.generation.next();
-    document.record(event(view, name, Action::Dissolve, cause, passed));
+    document.record_event(event(view, name, Action::Dissolve, cause, passed));
     if let Some(group) = document.groups.remove(name) {
         quarantine(view, &mut document, group.members.into_iter().map(|place| place.runner));
     }
     document
 }
 
-fn is_lost(known: &Runner, place: &Place) -> bool {
+fn is_lost(known: &Runner, place: &Placement) -> bool {
     known.is_missing() || known.is_reborn(place)
 }
 
@@ -279,22 +279,22 @@
     view: &View,
     name: &id::Group,
     lost: usize,
-    spare: &Place,
+    spare: &Placement,
     cause: Cause,
-    others: &[Place],
+    others: &[Placement],
 ) -> Document {
     let mut document = view.document.clone();
     document.generation = document.generation.next();
     let generation = document.generation;
-    let mut passed: Vec<Passed> = others
+    let mut passed: Vec<Alternative> = others
         .iter()
         .take(2)
-        .map(|other| Passed {
+        .map(|other| Alternative {
             option: format!("replace by {}", other.runner),
             reason: format!("{} is as warm or warmer and comes first", spare.runner),
         })
         .collect();
-    passed.push(Passed {
+    passed.push(Alternative {
         option: "wait for the member to come back".to_owned(),
         reason: "a spare is there, and a restart takes longer than a load".to_owned(),
     });
@@ -306,14 +306,14 @@
     }
     if let Some(out) = out {
         let action = Action::Replace { out: out.clone(), into: spare.runner.clone() };
-        document.record(event(view, name, action, cause, passed));
+        document.record_event(event(view, name, action, cause, passed));
         quarantine(view, &mut document, [out]);
     }
     document
 }
 
 /// Gives every place to the present life of its runner.
-fn refresh(view: &View, members: &mut [Place]) {
+fn refresh(view: &View, members: &mut [Placement]) {
     for place in members {
         if let Some(seen) = view.evidence.of(&place.runner).seen {
             place.incarnation = place.incarnation.max(seen.incarnation);
@@ -332,12 +332,12 @@
         refresh(view, &mut group.members);
     }
     if let Some(reborn) = reborn {
-        let passed = vec![Passed {
+        let passed = vec![Alternative {
             option: "replace the member".to_owned(),
             reason: "it answers again, and the others are warm".to_owned(),
         }];
         let cause = Cause::Restarted(reborn.runner.clone());
-        document.record(event(view, name, Action::Reload, cause, passed));
+        document.record_event(event(view, name, Action::Reload, cause, passed));
     }
     document
 }
@@ -356,7 +356,7 @@
         theirs > 0 && (theirs, *other) < (mine, name) && group.members.len() > theirs
     });
     let (rescued, _) = rescued?;
-    let passed = vec![Passed {
+    let passed = vec![Alternative {
         option: "wait for the member to come back".to_owned(),
         reason: format!("there is no spare, and the others make {rescued} whole"),
     }];
@@ -365,7 +365,7 @@
 
 /// Forms the first configured group that is not there, if there are runners for it.
 fn form(view: &View) -> Option<Document> {
-    view.config.of(Kind::Group).find_map(|(name, _)| {
+    view.config.list_kind(Kind::Group).find_map(|(name, _)| {
         let name: id::Group = name.parse().ok()?;
         let (model, size) = wanted(view, &name)?;
         if view.document.groups.contains_key(&name) {
@@ -380,7 +380,7 @@
         document.generation = document.generation.next();
         let names = members.iter().map(|place| place.runner.clone()).collect();
         let cause = Cause::Configured(view.config.revision);
-        document.record(event(view, &name, Action::Form(names), cause, Vec::new()));
+        document.record_event(event(view, &name, Action::Form(names), cause, Vec::new()));
         let generation = document.generation;
         let group = Group { generation, model: model.clone(), members, phase: Phase::Serve };
         document.groups.insert(name, group);
@@ -390,7 +390,7 @@
 
 /// The groups that are not whole, with the ways and why they are not taken.
 fn explain_holds(view: &View) -> Vec<Hold> {
-    let names = view.config.of(Kind::Group).filter_map(|(name, _)| name.parse::<id::Group>().ok());
+    let names = view.config.list_kind(Kind::Group).filter_map(|(name, _)| name.parse::<id::Group>().ok());
     names.filter_map(|name| explain_hold(view, &name)).collect()
 }
 
@@ -398,7 +398,7 @@
     let (model, size) = wanted(view, name)?;
     let spares = list_spares(view, model).len();
     let hold = |option: &str, reason: String| {
-        let passed = vec![Passed { option: option.to_owned(), reason }];
+        let passed = vec![Alternative { option: option.to_owned(), reason }];
         Some(Hold { group: name.clone(), passed })
     };
     if is_blind(view) {
@@ -418,7 +418,7 @@
         .map(|place| &place.runner)
         .collect();
     if !lost.is_empty() {
-        let names = crate::domain::join(&lost);
+        let names = crate::domain::join_names(&lost);
         return hold("replace", format!("{names} missing and no spare in the domain"));
     }
     if group.phase == Phase::Drain {
@@ -453,7 +453,7 @@
     orders
 }
 
-fn needs_order(view: &View, place: &Place, role: &Role) -> bool {
+fn needs_order(view: &View, place: &Placement, role: &Role) -> bool {
     let known = view.evidence.of(&place.runner);
     let Some(seen) = known.seen else { return false };
     known.missed.is_empty() && seen.incarnation == place.incarnation && seen.role.as_ref() != Some(role)
@@ -461,7 +461,7 @@
 
 /// Runners that hold a role they no longer have.
 fn list_releases(view: &View) -> Vec<(id::Runner, SocketAddr, Order)> {
-    let free = view.evidence.runners.iter().filter(|(runner, _)| view.document.group_of(runner).is_none());
+    let free = view.evidence.runners.iter().filter(|(runner, _)| view.document.find_group(runner).is_none());
     free.filter_map(|(runner, known)| {
         let seen = known.seen.as_ref().filter(|_| known.missed.is_empty())?;
         let role = seen.role.as_ref()?;
--- a/crates/kernel/src/domain.rs
+++ b/crates/kernel/src/domain.rs
@@ -20,7 +20,7 @@
 }
 
 /// How many past events the document keeps for `explain`.
-pub const EVENTS: usize = 32;
+pub const MAX_EVENTS: usize = 32;
 
 /// What a group may do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
@@ -31,12 +31,12 @@
     Drain,
 }
 
-/// A runner's place in a group. The rank is the place's index.
+/// A runner's member in a group. The rank is the member's index.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Place {
+pub struct Placement {
     /// The runner.
     pub runner: id::Runner,
-    /// The life of the runner that was given the place. A later life has
+    /// The life of the runner that was given the member. A later life has
     /// lost it, whatever it says.
     pub incarnation: id::Incarnation,
 }
@@ -49,15 +49,15 @@
     /// The model it serves.
     pub model: id::Model,
     /// Its runners in rank order.
-    pub members: Vec<Place>,
+    pub members: Vec<Placement>,
     /// What it may do.
     pub phase: Phase,
 }
 
 impl Group {
-    /// The place of `runner` in this group.
-    pub fn place_of(&self, runner: &id::Runner) -> Option<&Place> {
-        self.members.iter().find(|place| place.runner == *runner)
+    /// The member of `runner` in this group.
+    pub fn find_member(&self, runner: &id::Runner) -> Option<&Placement> {
+        self.members.iter().find(|member| member.runner == *runner)
     }
 }
 
@@ -84,7 +84,8 @@
     /// What was seen that led to it.
     pub cause: Cause,
     /// Other ways and why they were passed over.
-    pub passed: Vec<Passed>,
+    #[serde(rename = "passed")]
+    pub alternatives: Vec<Alternative>,
 }
 
 /// What was decided.
@@ -92,7 +93,7 @@
 pub enum Action {
     /// The group was formed of these runners.
     Form(Vec<id::Runner>),
-    /// One runner took the place of another.
+    /// One runner took the member of another.
     Replace {
         /// The runner that left.
         out: id::Runner,
@@ -129,7 +130,7 @@
 
 /// A way that was not taken.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Passed {
+pub struct Alternative {
     /// The way.
     pub option: String,
     /// Why not.
@@ -139,7 +140,7 @@
 impl fmt::Display for Action {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Action::Form(members) => write!(f, "form of {}", join(members)),
+            Action::Form(members) => write!(f, "form of {}", join_names(members)),
             Action::Replace { out, into } => write!(f, "replace {out} by {into}"),
             Action::Reload => f.write_str("load again on the same runners"),
             Action::Drain => f.write_str("drain"),
@@ -153,7 +154,7 @@
         match self {
             Cause::Configured(revision) => write!(f, "configuration revision {revision}"),
             Cause::Missing { runner, witnesses } => {
-                write!(f, "{runner} is missing, seen by {}", join(witnesses))
+                write!(f, "{runner} is missing, seen by {}", join_names(witnesses))
             }
             Cause::Restarted(runner) => write!(f, "{runner} started again and lost its role"),
             Cause::Leaving(runner) => write!(f, "{runner} is leaving"),
@@ -163,7 +164,7 @@
 }
 
 /// The names with commas between them.
-pub fn join<T: fmt::Display>(names: &[T]) -> String {
+pub fn join_names<T: fmt::Display>(names: &[T]) -> String {
     names.iter().map(T::to_string).collect::<Vec<_>>().join(", ")
 }
 
@@ -187,16 +188,16 @@
 pub enum CheckError {
     /// A runner stands twice.
     #[error("runner {0} is in two places")]
-    Twice(id::Runner),
+    DuplicateRunner(id::Runner),
     /// A group's generation lies above the domain's.
     #[error("group {0} has a generation that was never given out")]
-    Generation(id::Group),
+    UnknownGeneration(id::Group),
     /// Two groups share a generation.
     #[error("generation {0} was given to two groups")]
-    Shared(id::Generation),
+    SharedGeneration(id::Generation),
     /// A member is in quarantine.
     #[error("runner {0} is a member while in quarantine")]
-    Quarantine(id::Runner),
+    QuarantinedMember(id::Runner),
 }
 
 impl Document {
@@ -206,17 +207,17 @@
         let mut generations = BTreeSet::new();
         for (name, group) in &self.groups {
             if group.generation > self.generation {
-                return Err(CheckError::Generation(name.clone()));
+                return Err(CheckError::UnknownGeneration(name.clone()));
             }
             if !generations.insert(group.generation) {
-                return Err(CheckError::Shared(group.generation));
+                return Err(CheckError::SharedGeneration(group.generation));
             }
-            for place in &group.members {
-                if !seen.insert(&place.runner) {
-                    return Err(CheckError::Twice(place.runner.clone()));
+            for member in &group.members {
+                if !seen.insert(&member.runner) {
+                    return Err(CheckError::DuplicateRunner(member.runner.clone()));
                 }
-                if self.quarantine.contains_key(&place.runner) {
-                    return Err(CheckError::Quarantine(place.runner.clone()));
+                if self.quarantine.contains_key(&member.runner) {
+                    return Err(CheckError::QuarantinedMember(member.runner.clone()));
                 }
             }
         }
@@ -224,14 +225,14 @@
     }
 
     /// The group that a runner is assigned to.
-    pub fn group_of(&self, runner: &id::Runner) -> Option<(&id::Group, &Group)> {
-        self.groups.iter().find(|(_, group)| group.place_of(runner).is_some())
+    pub fn find_group(&self, runner: &id::Runner) -> Option<(&id::Group, &Group)> {
+        self.groups.iter().find(|(_, group)| group.find_member(runner).is_some())
     }
 
-    /// Adds an event and forgets the oldest beyond [`EVENTS`].
-    pub fn record(&mut self, event: Event) {
+    /// Adds an event and forgets the oldest beyond [`MAX_EVENTS`].
+    pub fn record_event(&mut self, event: Event) {
         self.events.push_back(event);
-        while self.events.len() > EVENTS {
+        while self.events.len() > MAX_EVENTS {
             self.events.pop_front();
         }
     }
@@ -241,15 +242,15 @@
 mod tests {
     use super::*;
 
-    fn place(name: &str) -> Place {
-        Place { runner: name.parse().unwrap(), incarnation: id::Incarnation(1) }
+    fn member(name: &str) -> Placement {
+        Placement { runner: name.parse().unwrap(), incarnation: id::Incarnation(1) }
     }
 
     fn group(generation: u64, members: &[&str]) -> Group {
         Group {
             generation: id::Generation(generation),
             model: "m".parse().unwrap(),
-            members: members.iter().map(|m| place(m)).collect(),
+            members: members.iter().map(|m| member(m)).collect(),
             phase: Phase::Serve,
         }
     }
@@ -261,7 +262,7 @@
         document.groups.insert("b".parse().unwrap(), group(2, &["r3"]));
         assert_eq!(document.check(), Ok(()));
         document.groups.insert("b".parse().unwrap(), group(2, &["r2"]));
-        assert_eq!(document.check(), Err(CheckError::Twice("r2".parse().unwrap())));
+        assert_eq!(document.check(), Err(CheckError::DuplicateRunner("r2".parse().unwrap())));
     }
 
     #[test]
@@ -269,7 +270,7 @@
         let mut document = Document { generation: id::Generation(2), ..Document::default() };
         document.groups.insert("a".parse().unwrap(), group(1, &["r1"]));
         document.groups.insert("b".parse().unwrap(), group(1, &["r3"]));
-        assert_eq!(document.check(), Err(CheckError::Shared(id::Generation(1))));
+        assert_eq!(document.check(), Err(CheckError::SharedGeneration(id::Generation(1))));
     }
 
     #[test]
@@ -281,18 +282,18 @@
             let name: id::Group = format!("group-{n}").parse().unwrap();
             document.groups.insert(name.clone(), group(n, &members));
         }
-        for n in 0..EVENTS + 5 {
-            document.record(Event {
+        for n in 0..MAX_EVENTS + 5 {
+            document.record_event(Event {
                 at: Millis(1_800_000_000_000),
                 by: "node-hall-1-12".parse().unwrap(),
                 group: "group-1".parse().unwrap(),
                 generation: id::Generation(n as u64),
                 action: Action::Form(members.iter().map(|m| m.parse().unwrap()).collect()),
                 cause: Cause::Configured(id::Revision(7)),
-                passed: Vec::new(),
+                alternatives: Vec::new(),
             });
         }
-        assert_eq!(document.events.len(), EVENTS);
+        assert_eq!(document.events.len(), MAX_EVENTS);
         let size = rmp_serde::to_vec(&document).unwrap().len();
         println!("{size} bytes");
         assert!(size < crate::wire::VALUE_MAX / 16, "{size} bytes");
--- a/crates/kernel/src/engine.rs
+++ b/crates/kernel/src/engine.rs
@@ -51,7 +51,7 @@
 
 /// The answer to an order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Obeyed {
+pub enum OrderReply {
     /// The order was taken.
     Yes,
     /// The runner has obeyed a newer generation before.
@@ -117,7 +117,7 @@
 
 /// A refusal: the request was not run.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Refusal {
+pub struct Rejection {
     /// The request refused.
     pub request: id::Request,
     /// The generation named in the request.
--- a/crates/kernel/src/evidence.rs
+++ b/crates/kernel/src/evidence.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 
 use crate::clock::Millis;
-use crate::domain::{self, Place};
+use crate::domain::{self, Placement};
 use crate::engine::Stage;
 use crate::id;
 use crate::member::{Member, live_in, watchers};
@@ -66,7 +66,7 @@
     }
 
     /// The life given `place` is over: a later one answers.
-    pub fn is_reborn(&self, place: &Place) -> bool {
+    pub fn is_reborn(&self, place: &Placement) -> bool {
         self.seen.as_ref().is_some_and(|seen| seen.incarnation > place.incarnation)
     }
 
@@ -76,7 +76,7 @@
         group: &id::Group,
         generation: id::Generation,
         rank: usize,
-        place: &Place,
+        place: &Placement,
         now: Millis,
     ) -> bool {
         let Some(Seen { role: Some(role), stage: Stage::Ready, incarnation, .. }) = &self.seen else {
@@ -107,7 +107,7 @@
 
     /// Whether every member of the group is ready in its place at the group's generation.
     pub fn is_whole(&self, name: &id::Group, group: &domain::Group, now: Millis) -> bool {
-        let ready = |(rank, place): (usize, &Place)| {
+        let ready = |(rank, place): (usize, &Placement)| {
             let known = self.runners.get(&place.runner);
             known.is_some_and(|known| known.is_ready(name, group.generation, rank, place, now))
         };
@@ -175,8 +175,8 @@
         name.parse().unwrap()
     }
 
-    fn place() -> Place {
-        Place { runner: "r".parse().unwrap(), incarnation: id::Incarnation(1) }
+    fn place() -> Placement {
+        Placement { runner: "r".parse().unwrap(), incarnation: id::Incarnation(1) }
     }
 
     fn ready(incarnation: u64) -> Seen {
--- a/crates/kernel/src/id.rs
+++ b/crates/kernel/src/id.rs
@@ -8,13 +8,13 @@
 use thiserror::Error;
 
 /// The longest name allowed, in bytes.
-pub const NAME_MAX: usize = 64;
+pub const MAX_NAME_LEN: usize = 64;
 
 /// A name or number that could not be read.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum IdError {
-    /// The name is empty or longer than [`NAME_MAX`] bytes.
-    #[error("a name has 1 to {NAME_MAX} characters, `{0}` has {len}", len = .0.len())]
+    /// The name is empty or longer than [`MAX_NAME_LEN`] bytes.
+    #[error("a name has 1 to {MAX_NAME_LEN} characters, `{0}` has {len}", len = .0.len())]
     Length(String),
     /// The name has a character that is not allowed.
     #[error("`{name}` has `{found}`; a name has letters, digits, `-`, `_` and `.` only")]
@@ -30,7 +30,7 @@
 }
 
 fn check_name(text: &str) -> Result<(), IdError> {
-    if text.is_empty() || text.len() > NAME_MAX {
+    if text.is_empty() || text.len() > MAX_NAME_LEN {
         return Err(IdError::Length(text.to_owned()));
     }
     let allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
@@ -40,7 +40,7 @@
     }
 }
 
-macro_rules! name {
+macro_rules! name_type {
     ($(#[$doc:meta])* $id:ident) => {
         $(#[$doc])*
         #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -89,7 +89,7 @@
     };
 }
 
-macro_rules! number {
+macro_rules! number_type {
     ($(#[$doc:meta])* $id:ident) => {
         $(#[$doc])*
         #[derive(
@@ -119,57 +119,57 @@
     };
 }
 
-name! {
+name_type! {
     /// A node: one entry box of the system, with its entry and its controller.
     Node
 }
-name! {
+name_type! {
     /// A data hall.
     Hall
 }
-name! {
+name_type! {
     /// A fabric domain: backend servers that share a fast network.
     Domain
 }
-name! {
+name_type! {
     /// A runner: one backend server box, a possible member of a group.
     Runner
 }
-name! {
+name_type! {
     /// A serving group: one replica of a model over several runners.
     Group
 }
-name! {
+name_type! {
     /// A model with its version, as callers name it.
     Model
 }
-name! {
+name_type! {
     /// A plain service beside the model engines.
     Service
 }
-name! {
+name_type! {
     /// A client account.
     Account
 }
 
-number! {
+number_type! {
     /// The revision of the accepted configuration. It only rises.
     Revision
 }
-number! {
+number_type! {
     /// The generation of a group. It rises with every change inside its domain
     /// and fences orders and requests.
     Generation
 }
-number! {
+number_type! {
     /// One life of a process; a process that starts again has a higher one.
     Incarnation
 }
-number! {
+number_type! {
     /// A request from a caller, unique over the fleet for all practical purposes.
     Request
 }
-number! {
+number_type! {
     /// A write proposed to the store, by which a lost answer is recognised.
     Proposal
 }
--- a/crates/kernel/src/lib.rs
+++ b/crates/kernel/src/lib.rs
@@ -21,8 +21,8 @@
 //!
 //! // A node that holds revision 0 is brought to revision 1, and never back.
 //! let mut node = Document::default();
-//! assert!(node.adopt(one.delta(node.revision)));
-//! assert!(!node.adopt(empty.delta(Revision(0))));
+//! assert!(node.apply(one.delta(node.revision)));
+//! assert!(!node.apply(empty.delta(Revision(0))));
 //! assert_eq!(node, one);
 //! # Ok::<(), Box<dyn std::error::Error>>(())
 //! ```
--- a/crates/kernel/src/program.rs
+++ b/crates/kernel/src/program.rs
@@ -39,8 +39,8 @@
 ///
 /// `RUST_LOG` goes before `level`.
 pub fn start_log(level: &str) -> Result<flexi_logger::LoggerHandle, StartError> {
-    let own = format!("{level}, xitca_server=warn, xitca_http=warn");
-    let logger = flexi_logger::Logger::try_with_env_or_str(own)?.format(format_line);
+    let default_filter = format!("{level}, xitca_server=warn, xitca_http=warn");
+    let logger = flexi_logger::Logger::try_with_env_or_str(default_filter)?.format(format_line);
     Ok(logger.log_to_stderr().start()?)
 }
 
--- a/crates/kernel/src/registry.rs
+++ b/crates/kernel/src/registry.rs
@@ -14,12 +14,12 @@
     /// One line for `--help` and the docs.
     pub about: &'static str,
     /// What it brings.
-    pub part: Part,
+    pub kind: Kind,
 }
 
 /// The kinds of plug-ins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Part {
+pub enum Kind {
     /// A policy that picks a group for a request.
     Route(route::Policy),
 }
@@ -47,7 +47,7 @@
 /// Every routing policy with its name and description.
 pub fn list_routes() -> impl Iterator<Item = (&'static str, &'static str, route::Policy)> {
     inventory::iter::<Plugin>.into_iter().map(|plugin| {
-        let Part::Route(policy) = plugin.part;
+        let Kind::Route(policy) = plugin.kind;
         (plugin.name, plugin.about, policy)
     })
 }
--- a/crates/kernel/src/route.rs
+++ b/crates/kernel/src/route.rs
@@ -7,7 +7,7 @@
 use rand::Rng;
 use serde::{Deserialize, Serialize};
 
-use crate::registry::{Part, Plugin};
+use crate::registry::{Kind, Plugin};
 
 /// The ways to pick.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -23,16 +23,16 @@
 }
 
 inventory::submit! {
-    Plugin { name: "random", about: "any group that is open", part: Part::Route(Policy::Random) }
+    Plugin { name: "random", about: "any group that is open", kind: Kind::Route(Policy::Random) }
 }
 inventory::submit! {
-    Plugin { name: "round-robin", about: "one open group after the other", part: Part::Route(Policy::RoundRobin) }
+    Plugin { name: "round-robin", about: "one open group after the other", kind: Kind::Route(Policy::RoundRobin) }
 }
 inventory::submit! {
-    Plugin { name: "least-loaded", about: "least reported and own work", part: Part::Route(Policy::LeastLoaded) }
+    Plugin { name: "least-loaded", about: "least reported and own work", kind: Kind::Route(Policy::LeastLoaded) }
 }
 inventory::submit! {
-    Plugin { name: "two-choices", about: "the better of two random groups", part: Part::Route(Policy::TwoChoices) }
+    Plugin { name: "two-choices", about: "the better of two random groups", kind: Kind::Route(Policy::TwoChoices) }
 }
 
 /// A group that may be picked.
--- a/crates/kernel/src/view.rs
+++ b/crates/kernel/src/view.rs
@@ -110,7 +110,7 @@
     now: Millis,
 ) -> View {
     let mut view = View { revision: config.revision, ..View::default() };
-    for (key, entry) in config.entries() {
+    for (key, entry) in config.list_entries() {
         match entry {
             Entry::Group { accounts, .. } => {
                 view.groups.extend(derive_group(config, table, members, hall, &key.name, accounts, now));
@@ -150,7 +150,7 @@
     let id: id::Group = name.parse().ok()?;
     let Body::Group(Some(row)) = &table.get(&Key::Group(id.clone()))?.row.body else { return None };
     let group = &row.group;
-    let home = config.hall_of(&row.domain)?;
+    let home = config.find_hall(&row.domain)?;
     let live = live_in(members, home);
     let condition = match home == hall {
         true => judge_group(table, &live, &id, group, now),
--- a/crates/kernel/tests/matrix.rs
+++ b/crates/kernel/tests/matrix.rs
@@ -206,7 +206,7 @@
         let drained = matches!(world.config.get(&key), Some(Entry::Runner { drained: true, .. }));
         world.runners[*at].alive && !world.runners[*at].leaving && !drained
     };
-    let wanted = world.config.of(Kind::Group).count();
+    let wanted = world.config.list_kind(Kind::Group).count();
     ((0..RUNNERS).filter(usable).count() / 3).min(wanted)
 }
 
--- a/crates/kernel/tests/merge.rs
+++ b/crates/kernel/tests/merge.rs
@@ -144,7 +144,7 @@
         for (to, base) in deliveries {
             let sender = &history[to % history.len()];
             let before = holder.revision;
-            holder.adopt(sender.delta(Revision(base as u64)));
+            holder.apply(sender.delta(Revision(base as u64)));
             prop_assert!(holder.revision >= before);
             // Whatever it holds is one of the accepted documents, whole.
             prop_assert!(history.contains(&holder));
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -9,7 +9,7 @@
 use bytes::Bytes;
 use cottoncrank::clock::System;
 use cottoncrank::config::Fence;
-use cottoncrank::engine::{Fault, Finish, Frame, Generate, Order, Reason, Refusal, Status as Report};
+use cottoncrank::engine::{Fault, Finish, Frame, Generate, Order, Reason, Rejection, Status as Report};
 use cottoncrank::{Clock, Millis, id};
 use cottoncrank_net::client::{Client, Traffic};
 use cottoncrank_net::server::{
@@ -235,7 +235,7 @@
             Err(error) => return reply_bad(&error),
         };
         let refuse = |reason| {
-            let refusal = Refusal { request: ask.request, generation: ask.generation, reason };
+            let refusal = Rejection { request: ask.request, generation: ask.generation, reason };
             let mut answer = reply_message(&refusal);
             *answer.status_mut() = Status::CONFLICT;
             answer
--- a/crates/standin/src/member.rs
+++ b/crates/standin/src/member.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use cottoncrank::config::Fence;
-use cottoncrank::engine::{Fault, Obeyed, Order, Role, Stage, Status};
+use cottoncrank::engine::{Fault, Order, OrderReply, Role, Stage, Status};
 use cottoncrank::{Millis, id};
 use parking_lot::Mutex;
 use serde::{Deserialize, Serialize};
@@ -130,18 +130,18 @@
     }
 
     /// Takes a role or gives it up, as the fence allows.
-    pub(crate) fn obey(&mut self, order: &Order, kind: Fence, now: Millis) -> Obeyed {
+    pub(crate) fn obey(&mut self, order: &Order, kind: Fence, now: Millis) -> OrderReply {
         if let Order::Take { incarnation, .. } = order
             && *incarnation != self.incarnation
         {
-            return Obeyed::Reborn { incarnation: self.incarnation };
+            return OrderReply::Reborn { incarnation: self.incarnation };
         }
         let repeated = match order {
             Order::Take { role, .. } => self.role.as_ref() == Some(role),
             Order::Release { .. } => false,
         };
         if repeated {
-            return Obeyed::Yes;
+            return OrderReply::Yes;
         }
         let newer = match order {
             Order::Take { role, .. } => role.generation > self.fence,
@@ -149,7 +149,7 @@
         };
         if kind == Fence::Checked && !newer {
             self.history.fenced += 1;
-            return Obeyed::Fenced { held: self.fence };
+            return OrderReply::Fenced { held: self.fence };
         }
         self.fence = self.fence.max(order.generation());
         self.ready = false;
@@ -167,7 +167,7 @@
             }
         }
         self.history.roles.push(Obeyance { incarnation: self.incarnation, role: self.role.clone(), at: now });
-        Obeyed::Yes
+        OrderReply::Yes
     }
 }
 
