--- a/crates/controller/src/operate.rs
+++ b/crates/controller/src/operate.rs
@@ -354,7 +354,7 @@
     let now = state.now();
     for event in document.events.iter().filter(|event| concerns(event, target)) {
         let passed: Vec<String> =
-            event.alternatives.iter().map(|passed| format!("{}: {}", passed.option, passed.reason)).collect();
+            event.passed.iter().map(|passed| format!("{}: {}", passed.option, passed.reason)).collect();
         table.push(vec![
             format!("{} ago", now.since(event.at)),
             event.generation.to_string(),
--- a/crates/kernel/src/config.rs
+++ b/crates/kernel/src/config.rs
@@ -224,7 +224,7 @@
     #[error("group {0} needs a size of at least 1")]
     Size(String),
     /// Two accounts with one token.
-    #[error("the token of {key} is conflict by {other}")]
+    #[error("{key} has the same token as {other}")]
     Token {
         /// The entry.
         key: String,
--- a/crates/kernel/src/decide.rs
+++ b/crates/kernel/src/decide.rs
@@ -152,7 +152,7 @@
         generation: view.document.generation.next(),
         action,
         cause,
-        alternatives: passed,
+        passed,
     }
 }
 
--- a/crates/kernel/src/domain.rs
+++ b/crates/kernel/src/domain.rs
@@ -84,8 +84,7 @@
     /// What was seen that led to it.
     pub cause: Cause,
     /// Other ways and why they were passed over.
-    #[serde(rename = "passed")]
-    pub alternatives: Vec<Alternative>,
+    pub passed: Vec<Alternative>,
 }
 
 /// What was decided.
@@ -290,7 +289,7 @@
                 generation: id::Generation(n as u64),
                 action: Action::Form(members.iter().map(|m| m.parse().unwrap()).collect()),
                 cause: Cause::Configured(id::Revision(7)),
-                alternatives: Vec::new(),
+                passed: Vec::new(),
             });
         }
         assert_eq!(document.events.len(), MAX_EVENTS);
