--- a/crates/kernel/src/budget.rs
+++ b/crates/kernel/src/budget.rs
@@ -1,38 +1,38 @@
 //! The store budget of one node: a token bucket with priorities.
 //!
-//! The store's rates are for everyone. Each node takes an even part of the
-//! share that the system allows itself, and keeps a reserve in its bucket for
-//! what may not wait.
+//! All clients of the store share its rate limits. This system uses a fixed part of them,
+//! divided evenly among its nodes. Each bucket keeps a reserve for urgent calls.
 
 use serde::{Deserialize, Serialize};
 
 use crate::clock::Millis;
 
-/// Store calls a second that the whole fleet allows itself, waiting watches
-/// counted. A fifth of the platform's 2,000 reads a second.
+/// The store calls per second of the whole fleet, including waiting watches: a fifth of the
+/// platform's 2,000 reads a second.
 pub const FLEET_RATE: u32 = 400;
 
-/// Store calls a second for operators' commands, on each node that takes any.
-/// Operators talk to a few nodes, so this does not grow with the fleet.
+/// The store calls per second for operators' commands, on each node that receives any.
+/// Operators use only a few nodes, so this rate does not depend on the size of the fleet.
 pub const OPERATOR_RATE: u32 = 20;
 
-/// What a call is for. The first may empty the bucket, the last leaves most of it.
+/// The purpose of a store call, which sets its priority: calls for a lease may empty the
+/// bucket, and those for other purposes leave most of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Purpose {
-    /// Keeping a lease.
+    /// Renewing a lease.
     Lease,
     /// Changing or reading a domain's document.
     Group,
     /// The configuration.
     Config,
-    /// All else.
+    /// All other calls.
     Other,
-    /// An operator's command; it has a bucket of its own.
+    /// An operator's command, which has a separate bucket.
     Operator,
 }
 
 impl Purpose {
-    /// The part of the bucket, in tenths, that must be there before the call.
+    /// Returns the reserve, in tenths of the bucket, that must be left after the call.
     fn reserve_tenths(self) -> u64 {
         match self {
             Purpose::Lease | Purpose::Operator => 0,
@@ -43,31 +43,31 @@
     }
 }
 
-/// A token bucket. Its level counts millionths of a call, so that a call every
-/// few hundred milliseconds adds up without rounding.
+/// A token bucket. Its level is in millionths of a call, because the tokens that a node gains
+/// in a millisecond would otherwise round to zero.
 #[derive(Clone, Debug)]
 pub struct Bucket {
     /// Millionths of a call gained each millisecond.
     rate: u64,
-    /// The most it holds.
+    /// The maximum level.
     capacity: u64,
     level: u64,
     updated: Millis,
 }
 
-/// One call in the bucket's unit.
+/// One call in the unit of the bucket's level.
 const UNITS_PER_CALL: u64 = 1_000_000;
 
-/// Calls a node may save up.
+/// The number of calls that a full bucket allows at once.
 pub const BURST: u64 = 20;
 
 impl Bucket {
-    /// The bucket of one node among `nodes`.
+    /// Returns the bucket of one node among `nodes`.
     pub fn new(nodes: usize, now: Millis) -> Bucket {
         Bucket::with_rate(compute_rate(nodes), now)
     }
 
-    /// The bucket for operators' commands.
+    /// Returns the bucket for operators' commands.
     pub fn for_operators(now: Millis) -> Bucket {
         Bucket::with_rate(u64::from(OPERATOR_RATE) * 1000, now)
     }
@@ -77,12 +77,12 @@
         Bucket { rate, capacity, level: capacity, updated: now }
     }
 
-    /// Follows the fleet's capacity.
+    /// Sets the number of nodes that share the fleet's rate.
     pub fn set_nodes(&mut self, nodes: usize) {
         self.rate = compute_rate(nodes);
     }
 
-    /// Takes one call for `purpose`; false when it has to wait.
+    /// Withdraws one call for `purpose`. Returns false if the call has to wait.
     pub fn acquire(&mut self, purpose: Purpose, now: Millis) -> bool {
         let gained = now.since(self.updated).0 * self.rate;
         self.level = (self.level + gained).min(self.capacity);
@@ -104,7 +104,7 @@
     use super::*;
 
     #[test]
-    fn the_fleet_stays_inside_its_rate() {
+    fn the_fleet_stays_within_its_rate() {
         let nodes = 350;
         let mut bucket = Bucket::new(nodes, Millis(0));
         let acquired = (0..100_000).filter(|ms| bucket.acquire(Purpose::Lease, Millis(*ms))).count();
@@ -114,7 +114,7 @@
     }
 
     #[test]
-    fn the_rest_leaves_room_for_leases() {
+    fn other_calls_leave_a_reserve_for_leases() {
         let mut bucket = Bucket::new(350, Millis(0));
         let others = (0..100).filter(|_| bucket.acquire(Purpose::Other, Millis(0))).count();
         let leases = (0..100).filter(|_| bucket.acquire(Purpose::Lease, Millis(0))).count();
--- a/crates/kernel/src/clock.rs
+++ b/crates/kernel/src/clock.rs
@@ -1,4 +1,4 @@
-//! Time in whole milliseconds, and the clocks that give it.
+//! Time in whole milliseconds, clocks, and the detection of suspensions.
 
 use std::fmt;
 use std::ops::{Add, Sub};
@@ -11,22 +11,22 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// A point in time or a span, in milliseconds. Points count from the Unix epoch.
+/// A point in time or a duration, in milliseconds. Points count from the Unix epoch.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Millis(pub u64);
 
-/// A span that could not be read.
+/// An error in parsing a duration.
 #[derive(Debug, Error, PartialEq, Eq)]
 #[error("`{0}` is not a number of milliseconds such as `250` or `250ms` or `3s`")]
 pub struct SpanError(String);
 
 impl Millis {
-    /// The span since `earlier`, zero if `earlier` lies ahead.
+    /// Returns the time since `earlier`, or zero if `earlier` is in the future.
     pub fn since(self, earlier: Millis) -> Millis {
         Millis(self.0.saturating_sub(earlier.0))
     }
 
-    /// The span as the standard library's duration.
+    /// Converts to the standard library's duration.
     pub fn duration(self) -> Duration {
         Duration::from_millis(self.0)
     }
@@ -68,23 +68,24 @@
     }
 }
 
-/// Anything that tells the time. Decisions take the time as an argument instead.
+/// A source of the current time. Decision functions take the time as an argument instead.
 pub trait Clock {
-    /// The present point in time. It never goes back.
+    /// Returns the current time, which never decreases.
     fn now(&self) -> Millis;
 }
 
-/// The machine's clock: wall time read once, then carried on by the time since boot.
+/// The machine's clock: the wall time at its creation plus the boot time that has passed since.
 ///
-/// That counts the time in which the machine was suspended, which [`std::time::Instant`] and
-/// the timers of tokio do not. A lease or a proof from before would look younger by it.
+/// Boot time includes suspensions of the machine, which [`std::time::Instant`] and the timers of
+/// tokio do not count. Without them, a lease or a proof of freshness from before a suspension
+/// would look younger than it is.
 #[derive(Clone, Debug)]
 pub struct System {
     wall: Millis,
     start: Millis,
 }
 
-/// The time for which processes could run since boot, or time in general.
+/// Reads a clock of the system.
 fn read_clock(clock: ClockId) -> Millis {
     let time = clock_gettime(clock);
     Millis(time.tv_sec as u64 * 1000 + time.tv_nsec as u64 / 1_000_000)
@@ -110,12 +111,12 @@
     }
 }
 
-/// A time in which this process did not run.
+/// A period in which this process did not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Suspension {
-    /// The machine was suspended: its timers stood still as well.
+    /// The machine was suspended, so its timers were stopped too.
     Suspended(Millis),
-    /// The process was held up, and its timers ran on.
+    /// Only the process was stopped or delayed; its timers kept running.
     Frozen(Millis),
 }
 
@@ -128,17 +129,19 @@
     }
 }
 
-/// The clocks run apart by less than this where the machine was not suspended: they are
-/// read one after the other, and a busy machine may do other things in between for 0.1 s.
+/// The minimum difference between boot time and monotonic time that counts as a suspension.
+/// The clocks are read one after the other, and on a busy machine 0.1 s can pass in between.
 const MIN_SUSPENDED: Millis = Millis(200);
 
-/// A timer that is later than this shows that the process was held up. One that waits for
-/// its share of a busy machine is late by 0.1 to 0.3 s.
+/// The minimum delay of a timer that shows that the process did not run. On a busy machine,
+/// timers are late by 0.1 to 0.3 s because the process waits for the processor.
 const MIN_FROZEN: Millis = Millis(500);
 
 impl Suspension {
-    /// What `boottime` time tells, of which `monotonic` was counted by timers, one of which was to
-    /// end after `timeout`.
+    /// Returns the suspension, if any, in a period in which a timer of `timeout` expired.
+    ///
+    /// `boottime` is the length of the period with suspensions of the machine, `monotonic` the
+    /// length that timers count.
     pub fn detect(timeout: Millis, monotonic: Millis, boottime: Millis) -> Option<Suspension> {
         let suspended = boottime.since(monotonic);
         let late = monotonic.since(timeout);
@@ -152,22 +155,22 @@
     }
 }
 
-/// Notices when this process did not run.
+/// Detects periods in which this process did not run.
 #[derive(Debug)]
 pub struct SuspensionDetector {
     clock: System,
-    /// When it was last looked at, by the clock and by the one that timers use.
+    /// The time of the last check, by `clock` and by the clock that timers use.
     boottime: Millis,
     monotonic: Millis,
 }
 
 impl SuspensionDetector {
-    /// Watches from now on.
+    /// Returns a detector whose first period starts now.
     pub fn new(clock: System) -> SuspensionDetector {
         SuspensionDetector { boottime: clock.now(), clock, monotonic: read_clock(ClockId::Monotonic) }
     }
 
-    /// What the time since the last look tells, which a timer of `timeout` has ended.
+    /// Returns the suspension, if any, since the last check. Called when a timer of `timeout` expires.
     pub fn check(&mut self, timeout: Millis) -> Option<Suspension> {
         let (boottime, monotonic) = (self.clock.now(), read_clock(ClockId::Monotonic));
         let suspension =
@@ -177,17 +180,17 @@
     }
 }
 
-/// A clock that moves only when told to.
+/// A clock that advances only through [`Manual::advance`].
 #[derive(Clone, Debug, Default)]
 pub struct Manual(Arc<AtomicU64>);
 
 impl Manual {
-    /// A clock that stands at `start`.
+    /// Returns a clock that is set to `start`.
     pub fn new(start: Millis) -> Manual {
         Manual(Arc::new(AtomicU64::new(start.0)))
     }
 
-    /// Moves the clock ahead by `span`.
+    /// Advances the clock by `span`.
     pub fn advance(&self, span: Millis) {
         self.0.fetch_add(span.0, Ordering::SeqCst);
     }
@@ -204,7 +207,7 @@
     use super::*;
 
     #[test]
-    fn spans_are_read_with_their_unit() {
+    fn durations_are_parsed_with_their_unit() {
         assert_eq!("250".parse(), Ok(Millis(250)));
         assert_eq!("250ms".parse(), Ok(Millis(250)));
         assert_eq!("3s".parse(), Ok(Millis(3000)));
@@ -213,7 +216,7 @@
     }
 
     #[test]
-    fn a_suspended_machine_is_told_from_a_process_that_was_held_up() {
+    fn a_suspended_machine_differs_from_a_delayed_process() {
         let detect =
             |monotonic, boottime| Suspension::detect(Millis(100), Millis(monotonic), Millis(boottime));
         assert_eq!(detect(101, 101), None);
@@ -225,7 +228,7 @@
     }
 
     #[test]
-    fn the_system_clock_goes_on_as_the_time_since_boot_does() {
+    fn the_system_clock_follows_the_boot_time() {
         let clock = System::new();
         let (start, now) = (read_clock(ClockId::Boottime), clock.now());
         std::thread::park_timeout(Duration::from_millis(30));
@@ -235,7 +238,7 @@
     }
 
     #[test]
-    fn a_manual_clock_moves_only_when_told() {
+    fn a_manual_clock_advances_only_on_request() {
         let clock = Manual::new(Millis(5));
         assert_eq!(clock.now(), Millis(5));
         clock.advance(Millis(10));
--- a/crates/kernel/src/hash.rs
+++ b/crates/kernel/src/hash.rs
@@ -1,24 +1,25 @@
-//! Rendezvous hashing: which members of a set look after a key.
+//! Rendezvous hashing: selects the members of a set that own a key.
 //!
-//! Each member scores each key; the highest scores win. A member that comes or
-//! goes moves only the keys it wins or won (Thaler and Ravishankar, 1998).
+//! Each pair of a member and a key has a score; the members with the highest scores own
+//! the key. When a member joins or leaves, only the keys that it owns or owned change
+//! owners (Thaler and Ravishankar, 1998).
 
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-/// The 64-bit hash of `bytes`, the same on every node.
+/// Returns the 64-bit hash of `bytes`, which is the same on every node.
 pub fn hash(bytes: &[u8]) -> u64 {
     xxh3_64(bytes)
 }
 
-/// How strongly `member` claims `key`.
+/// Returns the score of `member` for `key`.
 pub fn score(key: &str, member: &str) -> u64 {
     xxh3_64_with_seed(member.as_bytes(), xxh3_64(key.as_bytes()))
 }
 
-/// The `count` members with the highest scores for `key`, best first.
+/// Returns the `count` members with the highest scores for `key`, best first, or all
+/// members if there are fewer.
 ///
-/// The result does not depend on the order of `members`. Fewer come back when
-/// there are fewer members.
+/// The result does not depend on the order of `members`.
 pub fn pick_owners<'a, M>(key: &str, members: impl IntoIterator<Item = &'a M>, count: usize) -> Vec<&'a M>
 where
     M: AsRef<str> + ?Sized + 'a,
--- a/crates/kernel/src/id.rs
+++ b/crates/kernel/src/id.rs
@@ -1,4 +1,4 @@
-//! Names and numbers that tell things apart. Each is a type of its own.
+//! Identifiers: names and numbers, each kind with its own type.
 
 use std::fmt;
 use std::str::FromStr;
@@ -7,10 +7,10 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// The longest name allowed, in bytes.
+/// The maximum length of a name, in bytes.
 pub const MAX_NAME_LEN: usize = 64;
 
-/// A name or number that could not be read.
+/// An error in parsing a name or number.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum IdError {
     /// The name is empty or longer than [`MAX_NAME_LEN`] bytes.
@@ -24,7 +24,7 @@
         /// The first character that is not allowed.
         found: char,
     },
-    /// The text is no number of this kind.
+    /// The text is not a number.
     #[error("`{0}` is not a number of this kind")]
     Number(String),
 }
@@ -48,7 +48,7 @@
         pub struct $id(Arc<str>);
 
         impl $id {
-            /// The name as text.
+            /// Returns the name as text.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -98,7 +98,7 @@
         pub struct $id(pub u64);
 
         impl $id {
-            /// The number that follows.
+            /// Returns the next number.
             pub fn next(self) -> $id {
                 $id(self.0 + 1)
             }
@@ -132,7 +132,7 @@
     Domain
 }
 name_type! {
-    /// A runner: one backend server box, a possible member of a group.
+    /// A runner: one backend server box that can be a member of a group.
     Runner
 }
 name_type! {
@@ -140,11 +140,11 @@
     Group
 }
 name_type! {
-    /// A model with its version, as callers name it.
+    /// A model and its version, as named in requests.
     Model
 }
 name_type! {
-    /// A plain service beside the model engines.
+    /// A plain service, which needs no model engine.
     Service
 }
 name_type! {
@@ -153,24 +153,24 @@
 }
 
 number_type! {
-    /// The revision of the accepted configuration. It only rises.
+    /// The revision of the accepted configuration. It only increases.
     Revision
 }
 number_type! {
-    /// The generation of a group. It rises with every change inside its domain
+    /// The generation of a group. It increases with every change in its domain
     /// and fences orders and requests.
     Generation
 }
 number_type! {
-    /// One life of a process; a process that starts again has a higher one.
+    /// The number of one run of a process. It is higher after each restart.
     Incarnation
 }
 number_type! {
-    /// A request from a caller, unique over the fleet for all practical purposes.
+    /// A caller's request. A duplicate number in the fleet is possible but very unlikely.
     Request
 }
 number_type! {
-    /// A write proposed to the store, by which a lost answer is recognised.
+    /// A write proposed to the store. It shows whether the write took effect when the reply is lost.
     Proposal
 }
 
@@ -188,7 +188,7 @@
     }
 
     #[test]
-    fn a_bad_name_is_refused_while_decoding() {
+    fn decoding_rejects_an_invalid_name() {
         let bad = rmp_serde::to_vec("a b").unwrap();
         assert!(rmp_serde::from_slice::<Runner>(&bad).is_err());
     }
--- a/crates/kernel/src/lib.rs
+++ b/crates/kernel/src/lib.rs
@@ -1,25 +1,25 @@
 //! The kernel of cottoncrank, a serving system for models that span several
-//! boxes: ids, clock, settings, messages and every decision as pure code.
+//! boxes: ids, clock, settings, messages and all decisions as pure functions.
 //!
-//! Nothing here opens a connection or reads a clock by itself. The programs
-//! (`cottoncrank-entry`, `cottoncrank-controller`, `cottoncrank-ctl`) bring
-//! time, randomness and messages, and carry out what these functions decide.
+//! Decision code opens no connection and reads no clock. The programs
+//! (`cottoncrank-entry`, `cottoncrank-controller`, `cottoncrank-ctl`) pass in
+//! time, randomness and messages, and execute the decisions.
 //!
-//! A reader may start at [`config`] (what operators want), [`domain`] (which
-//! runner is in which group), [`row`] and [`table`] (what nodes tell each
-//! other), and then read [`decide`], [`evidence`] and [`view`] (what follows).
+//! Start with [`config`] (the operators' configuration), [`domain`] (which
+//! runner is in which group), [`row`] and [`table`] (the state that nodes exchange),
+//! then read [`decide`], [`evidence`] and [`view`] (the decisions based on them).
 //!
 //! ```
 //! use cottoncrank::config::{Document, Entry, Key, Kind};
 //! use cottoncrank::id::{Proposal, Revision};
 //!
-//! // An operator adds a fabric domain: the configuration moves to revision 1.
+//! // An operator adds a fabric domain: the configuration is now at revision 1.
 //! let empty = Document::default();
 //! let entry = Entry::Domain { hall: "hall-a".parse()? };
 //! let one = empty.change(Key::new(Kind::Domain, "d1"), Some(entry), Proposal(7))?;
 //! assert_eq!(one.revision, Revision(1));
 //!
-//! // A node that holds revision 0 is brought to revision 1, and never back.
+//! // A node at revision 0 moves to revision 1 and never back.
 //! let mut node = Document::default();
 //! assert!(node.apply(one.delta(node.revision)));
 //! assert!(!node.apply(empty.delta(Revision(0))));
--- a/crates/kernel/src/program.rs
+++ b/crates/kernel/src/program.rs
@@ -1,4 +1,4 @@
-//! What all programs share: arguments, logs, and the way to a running part.
+//! The startup code of all programs: arguments, settings and log.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -9,7 +9,7 @@
 
 use crate::settings::{self, Check, SettingsError};
 
-/// Arguments of every program that reads settings.
+/// The arguments of every program that reads settings.
 #[derive(Debug, Parser)]
 #[command(version)]
 pub struct Args {
@@ -21,7 +21,7 @@
     pub check: bool,
 }
 
-/// Why a program did not start.
+/// An error that prevents a program from starting.
 #[derive(Debug, Error)]
 pub enum StartError {
     /// The settings cannot be used.
@@ -30,14 +30,15 @@
     /// The log could not be set up.
     #[error("log: {0}")]
     Log(#[from] flexi_logger::FlexiLoggerError),
-    /// The system refused something, most often a port.
+    /// A system call failed, most often because a port is in use.
     #[error("start: {0}")]
     Io(#[from] std::io::Error),
 }
 
-/// Starts the log on standard error: time, level, and the message with its part's prefix.
+/// Starts the log on standard error. Each line has the time, the level, and the message with
+/// the prefix of its module.
 ///
-/// `RUST_LOG` goes before `level`.
+/// `RUST_LOG` overrides `level`.
 pub fn start_log(level: &str) -> Result<flexi_logger::LoggerHandle, StartError> {
     let default_filter = format!("{level}, xitca_server=warn, xitca_http=warn");
     let logger = flexi_logger::Logger::try_with_env_or_str(default_filter)?.format(format_line);
@@ -52,7 +53,7 @@
     write!(out, "{} {:5} {}", now.format("%Y-%m-%dT%H:%M:%S%.3f"), record.level(), record.args())
 }
 
-/// Reads the arguments and settings, starts the log, and runs `main` with them.
+/// Reads the arguments and settings, starts the log, and runs `main` with the settings.
 pub fn run<S: DeserializeOwned + Check>(main: impl FnOnce(S) -> Result<(), StartError>) -> ExitCode {
     let args = Args::parse();
     let outcome = settings::read::<S>(&args.settings).map_err(StartError::from).and_then(|settings| {
--- a/crates/kernel/src/registry.rs
+++ b/crates/kernel/src/registry.rs
@@ -1,19 +1,19 @@
-//! The registry in which plug-ins enter themselves.
+//! The registry of plug-ins, to which each plug-in adds itself at link time.
 //!
-//! A plug-in is a name with a value that the program picks once, at start;
-//! on the request path the value is a plain enum.
+//! A plug-in is a named value that the program looks up once, at startup. The value is a
+//! plain enum, so requests need no lookup.
 
 use thiserror::Error;
 
 use crate::route;
 
-/// A plug-in by name.
+/// A named plug-in.
 pub struct Plugin {
-    /// The name that settings give.
+    /// The name used in settings.
     pub name: &'static str,
-    /// One line for `--help` and the docs.
+    /// A description of one line, for `--help` and the docs.
     pub about: &'static str,
-    /// What it brings.
+    /// The kind of plug-in, with its value.
     pub kind: Kind,
 }
 
@@ -26,7 +26,7 @@
 
 inventory::collect!(Plugin);
 
-/// A name that no plug-in has.
+/// An error for a name that no plug-in has.
 #[derive(Debug, Error, PartialEq, Eq)]
 #[error("there is no routing policy `{name}`; there are {known}")]
 pub struct UnknownError {
@@ -34,7 +34,7 @@
     known: String,
 }
 
-/// The routing policy of that name.
+/// Returns the routing policy with the name `name`.
 pub fn find_route(name: &str) -> Result<route::Policy, UnknownError> {
     let found = list_routes().find(|(known, ..)| *known == name);
     found.map(|(_, _, policy)| policy).ok_or_else(|| {
@@ -44,7 +44,7 @@
     })
 }
 
-/// Every routing policy with its name and description.
+/// Returns the name, the description and the value of every routing policy.
 pub fn list_routes() -> impl Iterator<Item = (&'static str, &'static str, route::Policy)> {
     inventory::iter::<Plugin>.into_iter().map(|plugin| {
         let Kind::Route(policy) = plugin.kind;
--- a/crates/kernel/src/retry.rs
+++ b/crates/kernel/src/retry.rs
@@ -1,13 +1,13 @@
-//! How many retries are allowed: a fraction of what succeeds, never a count
-//! for each request, so that retries cannot multiply a failure.
+//! Retry budgets: the number of retries is limited to a fraction of the successful requests.
+//! A fixed number of retries per request would multiply the load during an outage.
 
-/// Retries that one success pays for, in thousandths.
+/// The deposit of one success, in thousandths of a retry.
 const DEPOSIT: u64 = 100;
 
-/// The price of a retry in the same unit.
+/// The cost of a retry in the same unit.
 const RETRY_COST: u64 = 1000;
 
-/// What can be retries up, and what there is at the start.
+/// The default capacity, which is also the initial balance.
 const MAX_BALANCE: u64 = 20 * RETRY_COST;
 
 /// The retry budget of one account, or of a whole node.
@@ -25,32 +25,31 @@
 }
 
 impl Budget {
-    /// A budget of `ratio` retries for each request, and of `retries` more that
-    /// are there at the start and can be retries up again.
+    /// Returns a budget that earns `ratio` retries for each request and can hold `retries`
+    /// retries. It starts full.
     pub fn new(ratio: f64, retries: f64) -> Budget {
         let capacity = (retries * RETRY_COST as f64) as u64;
         Budget { deposit: (ratio * RETRY_COST as f64) as u64, capacity, balance: capacity }
     }
 
-    /// From now on at most `retries` retries can be retries up. What the bound grows
-    /// by is there at once.
+    /// Sets the capacity to `retries` retries. An increase is added to the balance at once.
     pub fn set_capacity(&mut self, retries: f64) {
         let capacity = (retries * RETRY_COST as f64) as u64;
         self.balance = (self.balance + capacity.saturating_sub(self.capacity)).min(capacity);
         self.capacity = capacity;
     }
 
-    /// From now on a request pays for `ratio` retries.
+    /// Sets the deposit of one request to `ratio` retries.
     pub fn set_ratio(&mut self, ratio: f64) {
         self.deposit = (ratio * RETRY_COST as f64) as u64;
     }
 
-    /// A request came that pays for its part of a retry.
+    /// Adds the deposit of one request.
     pub fn deposit(&mut self) {
         self.balance = (self.balance + self.deposit).min(self.capacity);
     }
 
-    /// Pays for one retry; false if it is not allowed.
+    /// Withdraws the cost of one retry. Returns false if the balance is too low.
     pub fn withdraw(&mut self) -> bool {
         let allowed = self.balance >= RETRY_COST;
         if allowed {
--- a/crates/kernel/src/settings.rs
+++ b/crates/kernel/src/settings.rs
@@ -1,4 +1,4 @@
-//! Reading a program's settings: one TOML file, checked before anything starts.
+//! Reads a program's settings from one TOML file, which is checked before the program starts.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -6,7 +6,7 @@
 use serde::de::DeserializeOwned;
 use thiserror::Error;
 
-/// Settings that cannot be used. Each says the file, the key and the reason.
+/// An error in a settings file. The message names the file, the key and the reason.
 #[derive(Debug, Error)]
 pub enum SettingsError {
     /// The file could not be read.
@@ -14,18 +14,18 @@
     Read {
         /// The file.
         file: PathBuf,
-        /// Why.
+        /// The cause.
         source: io::Error,
     },
-    /// The file is no TOML, or has an unknown, missing or ill-typed key.
+    /// The file is not valid TOML, or a key is unknown, missing or of the wrong type.
     #[error("{file}: {source}", file = .file.display())]
     Parse {
         /// The file.
         file: PathBuf,
-        /// Where and why.
+        /// The position and the cause.
         source: Box<toml::de::Error>,
     },
-    /// A key has a value that cannot work.
+    /// A value is invalid.
     #[error("{file}: {problem}", file = .file.display())]
     Value {
         /// The file.
@@ -35,7 +35,7 @@
     },
 }
 
-/// A key with a value that cannot work.
+/// An invalid value of a key.
 #[derive(Debug, Error, PartialEq, Eq)]
 #[error("key `{key}`: {reason}")]
 pub struct Problem {
@@ -46,15 +46,15 @@
 }
 
 impl Problem {
-    /// A problem with `key`.
+    /// Returns a problem with `key`.
     pub fn new(key: &'static str, reason: impl ToString) -> Problem {
         Problem { key, reason: reason.to_string() }
     }
 }
 
-/// Settings that check themselves beyond their types.
+/// Settings with rules beyond the types of their values.
 pub trait Check {
-    /// The first value that cannot work.
+    /// Checks all values; the error is the first invalid one.
     fn check(&self) -> Result<(), Problem>;
 }
 
@@ -65,7 +65,7 @@
     parse(&text, file)
 }
 
-/// Checks the settings in `text`, which came from `file`.
+/// Parses and checks the settings in `text`; `file` is named in errors.
 pub fn parse<S: DeserializeOwned + Check>(text: &str, file: &Path) -> Result<S, SettingsError> {
     let settings: S = toml::from_str(text)
         .map_err(|source| SettingsError::Parse { file: file.to_owned(), source: Box::new(source) })?;
