--- a/crates/kernel/src/claim.rs
+++ b/crates/kernel/src/claim.rs
@@ -1,8 +1,8 @@
-//! The claims of request keys that one entry owns.
+//! The claims of the idempotency keys that one entry owns.
 //!
-//! A key belongs to the two live nodes of the hall with the highest scores, and
-//! both have to agree before its request runs. A repeat at any entry box finds
-//! the first one's outcome as long as one of the two is still there.
+//! The owners of a key are the two live nodes of the hall with the highest scores. Both
+//! are asked before a request with the key runs. A repeated request at any entry box gets
+//! the outcome of the first one as long as one of the two owners is alive.
 
 use std::collections::HashMap;
 
@@ -12,25 +12,25 @@
 use crate::view;
 use crate::wire::{Claimed, Recorded};
 
-/// What the owners' answers mean for a request that wants to run.
+/// The decision whether a request with a key may run.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Verdict {
-    /// It may run.
+    /// The request may run.
     Run,
     /// Another request with this key is in flight.
     Running,
-    /// Another request with this key has ended.
+    /// Another request with this key has finished.
     Done(Recorded),
-    /// Nobody can say whether a request with this key ran before.
+    /// It is unknown whether a request with this key has run before.
     Unsure,
 }
 
-/// Weighs the owners' answers; none stands for an owner that did not answer.
+/// Decides from the owners' replies whether a request may run. `None` is an owner that did
+/// not reply.
 ///
-/// Any owner that knows the key decides. If none does, the key is new for sure
-/// only if some owner that answered was an owner all through the horizon; a
-/// hall in which no node is that old has just been started, and then all
-/// owners have to agree.
+/// If an owner knows the key, its reply is the result. Otherwise the key is certainly new
+/// only if an owner that replied has been a node of the hall for at least [`KEY_TTL`]. A hall
+/// without such a node has just been started; there, all owners have to reply.
 pub fn resolve_claims(
     owners: &[(&view::Node, Option<Claimed>)],
     nodes: &[view::Node],
@@ -57,13 +57,13 @@
     }
 }
 
-/// How many nodes own a key.
+/// The number of nodes that own a key.
 pub const OWNERS_PER_KEY: usize = 2;
 
-/// How long a key is remembered.
+/// How long a key is kept.
 pub const KEY_TTL: Millis = Millis(600_000);
 
-/// The most keys remembered; above it new keys are refused.
+/// The maximum number of keys kept. Requests with further new keys are rejected.
 pub const MAX_KEYS: usize = 200_000;
 
 #[derive(Clone, Debug)]
@@ -73,14 +73,14 @@
     expires: Millis,
 }
 
-/// The keys of one shard.
+/// The claimed keys of one shard.
 #[derive(Debug, Default)]
 pub struct Claims {
     claims: HashMap<(id::Account, String), Claim>,
 }
 
 impl Claims {
-    /// Gives the key to `request` if it is free. The same request may ask twice.
+    /// Claims the key for `request` if it is free. The same request may claim it again.
     pub fn open(&mut self, account: &id::Account, key: &str, request: id::Request, now: Millis) -> Claimed {
         let index = (account.clone(), key.to_owned());
         if self.claims.len() >= MAX_KEYS && !self.claims.contains_key(&index) {
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Notes the outcome. *Not run* frees the key again.
+    /// Records the outcome of `request`. [`Recorded::NotRun`] frees the key.
     pub fn close(
         &mut self,
         account: &id::Account,
@@ -124,23 +124,23 @@
         }
     }
 
-    /// Forgets keys beyond the horizon.
+    /// Evicts the keys that are older than [`KEY_TTL`].
     pub fn evict_expired(&mut self, now: Millis) {
         self.claims.retain(|_, claim| claim.expires > now);
     }
 
-    /// How many keys are remembered.
+    /// Returns the number of keys kept.
     pub fn len(&self) -> usize {
         self.claims.len()
     }
 
-    /// Whether no key is remembered.
+    /// Whether no key is kept.
     pub fn is_empty(&self) -> bool {
         self.claims.is_empty()
     }
 }
 
-/// The nodes that own a key, best first.
+/// Returns the nodes that own a key, highest score first.
 pub fn find_owners<'a>(account: &id::Account, key: &str, nodes: &'a [view::Node]) -> Vec<&'a view::Node> {
     let key = format!("{account}/{key}");
     let names = pick_owners(&key, nodes.iter().map(|node| &node.id), OWNERS_PER_KEY);
@@ -166,7 +166,7 @@
     }
 
     #[test]
-    fn a_request_that_did_not_run_frees_its_key_and_no_other() {
+    fn a_request_that_did_not_run_frees_only_its_own_key() {
         let mut claims = Claims::default();
         let (one, two) = (id::Request(1), id::Request(2));
         claims.open(&account(), "k", one, Millis(0));
@@ -177,7 +177,7 @@
     }
 
     #[test]
-    fn keys_are_forgotten_after_the_horizon() {
+    fn keys_expire_after_the_ttl() {
         let mut claims = Claims::default();
         claims.open(&account(), "k", id::Request(1), Millis(0));
         assert_eq!(claims.open(&account(), "k", id::Request(2), KEY_TTL), Claimed::First);
@@ -194,7 +194,7 @@
     }
 
     #[test]
-    fn a_key_runs_only_if_an_owner_can_know_that_it_is_new() {
+    fn a_request_runs_only_if_its_key_is_certainly_new() {
         let now = Millis(10_000_000);
         let (old, old_too, young) = (node(0, 0), node(1, 0), node(2, now.0 - 5));
         let nodes = [old.clone(), old_too.clone(), young.clone()];
@@ -213,7 +213,7 @@
     }
 
     #[test]
-    fn the_loss_of_one_owner_leaves_the_other() {
+    fn the_loss_of_one_owner_keeps_the_other() {
         let nodes: Vec<_> = (0..9).map(|n| node(n, 0)).collect();
         for key in (0..100).map(|k| k.to_string()) {
             let before = find_owners(&account(), &key, &nodes);
--- a/crates/kernel/src/command.rs
+++ b/crates/kernel/src/command.rs
@@ -13,8 +13,8 @@
 //! plan COMMAND
 //! ```
 //!
-//! A change may end in `if revision N`: it is refused unless N is in force.
-//! Words with blanks stand in double quotes. `#` starts a comment.
+//! A change may end in `if revision N`; it is rejected unless N is the current revision.
+//! Words with blanks are put in double quotes. `#` starts a comment.
 
 use std::fmt;
 use std::str::FromStr;
@@ -29,61 +29,61 @@
 use crate::config::{Entry, Fence, Key, Kind};
 use crate::id;
 
-/// A command as understood.
+/// A parsed command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Command {
     /// Change the configuration.
     Change(Change),
-    /// Say what a change would do and change nothing.
+    /// Show the effect of a change without making it.
     Plan(Change),
-    /// List things.
+    /// Show a list.
     Show(Show),
-    /// Tell why something is as it is.
+    /// Explain the state of a group or runner.
     Explain(Target),
 }
 
 /// A change of the configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Change {
-    /// What it does.
+    /// The operation.
     pub verb: Verb,
-    /// The revision that has to be in force.
+    /// The required current revision, if any.
     pub condition: Option<id::Revision>,
 }
 
-/// What a change does.
+/// The operation of a change.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verb {
     /// Add an entry.
     Create(Key, Entry),
-    /// Take an entry out.
+    /// Delete an entry.
     Delete(Key),
-    /// Free a runner of work, or let it work again.
+    /// Drain a runner, or end its drain.
     Drain {
         /// The runner.
         runner: id::Runner,
-        /// True to free it.
+        /// True to drain it, false to end the drain.
         drained: bool,
     },
 }
 
-/// A list to show.
+/// A query for a list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Show {
-    /// What to list.
+    /// The subject of the list.
     pub subject: Subject,
-    /// Only rows where this column has this value.
+    /// Show only the rows in which this column has this value.
     pub filter: Option<(String, String)>,
-    /// Order by this column.
+    /// Sort by this column.
     pub order: Option<String>,
-    /// Only these columns; empty for all.
+    /// Show only these columns; empty for all.
     pub columns: Vec<String>,
 }
 
-/// What can be listed.
+/// The subject of a list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Subject {
-    /// Groups as assigned and as they are.
+    /// Groups, with their assignment and their state.
     Groups,
     /// Runners.
     Runners,
@@ -99,7 +99,7 @@
     Halls,
 }
 
-/// What can be explained.
+/// The subject of an explanation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Target {
     /// A group.
@@ -108,34 +108,34 @@
     Runner(id::Runner),
 }
 
-/// A line that is no command. It points at the word.
+/// A syntax error. The message points at the word that is wrong.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub struct CommandError {
     /// The line.
     pub line: String,
-    /// Where the word starts, in bytes.
+    /// The offset of the word in bytes.
     pub offset: usize,
-    /// What is wrong with it.
+    /// The problem with the word.
     pub problem: Problem,
 }
 
-/// What is wrong with a word.
+/// A problem with a word.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum Problem {
     /// The line ends too early.
-    #[error("{0} is missing here")]
+    #[error("{0} is missing")]
     Missing(&'static str),
-    /// Another word is expected.
+    /// A different word is expected.
     #[error("expected {0}")]
     Expected(&'static str),
-    /// The word cannot be read as what it should be.
+    /// The word is not a valid value.
     #[error("{0}")]
     InvalidValue(String),
-    /// The line goes on after its end.
-    #[error("nothing may follow here")]
+    /// Words follow a complete command.
+    #[error("unexpected text after the command")]
     TrailingWords,
-    /// A quote is not closed, or a character is not allowed.
-    #[error("this is not a word")]
+    /// A quote is not closed, or a character is invalid.
+    #[error("unclosed quote or invalid character")]
     InvalidWord,
 }
 
@@ -234,7 +234,7 @@
     }
 }
 
-/// Reads one line; none if it is empty or a comment.
+/// Parses one line. Returns `None` if it is empty or a comment.
 pub fn parse_line(line: &str) -> Result<Option<Command>, CommandError> {
     let mut cursor = Cursor { line, words: split_words(line)?, position: 0 };
     if cursor.words.is_empty() {
@@ -288,7 +288,7 @@
 
 fn parse_create(cursor: &mut Cursor) -> Result<Verb, CommandError> {
     let kind: Kind = cursor.parse_value("a kind")?;
-    // Every name has the same rules, whatever it names.
+    // The same rules apply to the names of all kinds.
     let name: id::Group = cursor.parse_value("a name")?;
     let entry = match kind {
         Kind::Domain => {
@@ -336,7 +336,7 @@
     Ok(Entry::Group { domain, model, size, accounts })
 }
 
-/// Requests in flight that an account may have when nothing else is said.
+/// The default limit of an account's requests in flight.
 const DEFAULT_LIMIT: u32 = 1000;
 
 fn parse_account(cursor: &mut Cursor) -> Result<Entry, CommandError> {
@@ -382,7 +382,7 @@
     }
 }
 
-/// The entry that a verb leads to, none to delete it.
+/// Returns the key and the new entry of a change; the entry is `None` to delete it.
 pub fn resolve_verb(
     verb: &Verb,
     config: &crate::config::Document,
@@ -437,7 +437,7 @@
     }
 
     #[test]
-    fn commands_are_read() {
+    fn commands_are_parsed() {
         let line = "create runner r1 domain d1 address 10.0.0.1:9000 fence unchecked if revision 7 # note";
         let Ok(Some(Command::Change(change))) = parse_line(line) else { panic!("no change") };
         assert_eq!(change.condition, Some(id::Revision(7)));
--- a/crates/kernel/src/config.rs
+++ b/crates/kernel/src/config.rs
@@ -1,8 +1,8 @@
 //! The operators' configuration: one document in the platform's store.
 //!
-//! Every entry carries the revision that last changed it, so a node that holds
-//! revision R can be brought to a later one by the entries above R alone. A
-//! [`Document`] only ever moves to a higher revision.
+//! Every entry has the revision that last changed it, so a node at revision R needs
+//! only the entries with a higher revision to reach a later one. The revision of a
+//! [`Document`] never decreases.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt;
@@ -14,15 +14,15 @@
 
 use crate::id;
 
-/// The store's key of the document.
+/// The store key of the document.
 pub const KEY: &str = "cottoncrank/config";
 
-/// What an entry is about; with its name it makes the entry's key.
+/// The kind of an entry. The kind and the name are the entry's key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Kind {
     /// A fabric domain.
     Domain,
-    /// A runner that the system may use.
+    /// A runner.
     Runner,
     /// A serving group.
     Group,
@@ -33,7 +33,7 @@
 }
 
 impl Kind {
-    /// Every kind, in the order of the document.
+    /// All kinds, in the order of the document.
     pub const ALL: [Kind; 5] = [Kind::Domain, Kind::Runner, Kind::Group, Kind::Service, Kind::Account];
 }
 
@@ -49,9 +49,9 @@
     }
 }
 
-/// A kind of entry that does not exist.
+/// An error for an unknown kind of entry.
 #[derive(Debug, Error, PartialEq, Eq)]
-#[error("`{0}` is no kind of entry; there are domain, runner, group, service and account")]
+#[error("`{0}` is no kind of entry; the kinds are domain, runner, group, service and account")]
 pub struct KindError(String);
 
 impl FromStr for Kind {
@@ -65,45 +65,45 @@
     }
 }
 
-/// Whether a runner refuses orders of an older generation by itself.
+/// Whether a runner checks the generation of orders.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Fence {
-    /// It refuses older orders.
+    /// The runner rejects orders of an older generation.
     #[default]
     Checked,
-    /// It obeys whatever arrives last; the system has to keep the order.
+    /// The runner executes every order, so the system has to send them in sequence.
     Unchecked,
 }
 
 /// One entry of the configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Entry {
-    /// A fabric domain lies in one data hall.
+    /// A fabric domain, which is in one data hall.
     Domain {
         /// The hall.
         hall: id::Hall,
     },
-    /// A runner given to the system.
+    /// A runner that the system may use.
     Runner {
         /// Its fabric domain.
         domain: id::Domain,
         /// Where its engine listens.
         address: SocketAddr,
-        /// Whether it checks fences.
+        /// Whether it checks the generation of orders.
         fence: Fence,
-        /// Whether the operators want it free of work.
+        /// Whether the operators have drained it.
         drained: bool,
     },
-    /// A serving group wanted.
+    /// A serving group that the system has to form.
     Group {
-        /// The fabric domain it has to form in.
+        /// The fabric domain of its runners.
         domain: id::Domain,
         /// The model and version it serves.
         model: id::Model,
-        /// How many runners it spans.
+        /// The number of runners in it.
         size: u16,
-        /// The accounts it takes; empty for all.
+        /// The accounts that it serves; empty for all.
         accounts: Vec<id::Account>,
     },
     /// A plain service.
@@ -113,17 +113,17 @@
     },
     /// A client account.
     Account {
-        /// The bearer token that names it.
+        /// The bearer token that identifies it.
         token: String,
         /// Its share of the fleet, relative to the other accounts.
         share: u32,
-        /// The most requests it may have in flight over the whole fleet.
+        /// The maximum number of its requests in flight in the whole fleet.
         limit: u32,
     },
 }
 
 impl Entry {
-    /// The kind of this entry.
+    /// Returns the kind of this entry.
     pub fn kind(&self) -> Kind {
         match self {
             Entry::Domain { .. } => Kind::Domain,
@@ -140,12 +140,12 @@
 pub struct Key {
     /// The kind.
     pub kind: Kind,
-    /// The name inside its kind.
+    /// The name, unique within the kind.
     pub name: String,
 }
 
 impl Key {
-    /// The key of `name` among the entries of `kind`.
+    /// Returns the key of the entry `name` of the kind `kind`.
     pub fn new(kind: Kind, name: impl fmt::Display) -> Key {
         Key { kind, name: name.to_string() }
     }
@@ -157,73 +157,73 @@
     }
 }
 
-/// An entry with the revision that last changed it; none once it was deleted.
+/// An entry, or the tombstone of a deleted one, with the revision that last changed it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VersionedEntry {
     /// The revision that last changed the entry.
     pub revision: id::Revision,
-    /// The entry, or none when that revision deleted it.
+    /// The entry, or `None` if that revision deleted it.
     pub entry: Option<Entry>,
 }
 
 /// The whole configuration at one revision.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Document {
-    /// The revision; zero before anything was accepted.
+    /// The revision, zero before the first change.
     pub revision: id::Revision,
-    /// The latest writes and the revisions they made, oldest first.
+    /// The latest writes with the revisions they created, oldest first.
     pub writes: VecDeque<(id::Revision, id::Proposal)>,
-    /// Deltas reach back to this revision; deletions before it are forgotten.
+    /// The oldest revision from which a delta can start. Tombstones up to it are removed.
     pub floor: id::Revision,
     #[serde(rename = "slots")]
     entries: BTreeMap<Key, VersionedEntry>,
 }
 
-/// What changed above a revision.
+/// The changes between two revisions.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Delta {
-    /// The holder must be at this revision or above.
+    /// The minimum revision of a document to which the delta applies.
     pub base: id::Revision,
-    /// The revision it leads to.
+    /// The revision of the document after the delta.
     pub revision: id::Revision,
-    /// The latest writes of the document it came from.
+    /// The latest writes of the source document.
     pub writes: VecDeque<(id::Revision, id::Proposal)>,
-    /// The floor of the document it came from.
+    /// The floor of the source document.
     pub floor: id::Revision,
-    /// Every versioned above `base`.
+    /// Every entry and tombstone with a revision above `base`.
     #[serde(rename = "slots")]
     pub entries: Vec<(Key, VersionedEntry)>,
 }
 
-/// A change that is refused. The configuration stays as it was.
+/// The reason for which a change is rejected. The configuration stays unchanged.
 #[derive(Clone, Debug, Error, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ChangeError {
-    /// The entry is not there.
+    /// The entry does not exist.
     #[error("there is no {0}")]
     Missing(String),
-    /// The entry is there already.
+    /// The entry exists already.
     #[error("{0} exists already")]
     Exists(String),
-    /// The entry names another one that is not there.
+    /// The entry refers to another one that does not exist.
     #[error("{key} needs {needs}, which does not exist")]
     Dangling {
         /// The entry.
         key: String,
-        /// What it names.
+        /// The entry that it refers to.
         needs: String,
     },
-    /// Other entries still name the one to be deleted.
+    /// Other entries refer to the one to be deleted.
     #[error("{key} is still used by {user}")]
     Used {
         /// The entry.
         key: String,
-        /// One of its users.
+        /// One of the entries that refer to it.
         user: String,
     },
-    /// A group without members.
+    /// The size of a group is zero.
     #[error("group {0} needs a size of at least 1")]
     Size(String),
-    /// Two accounts with one token.
+    /// Two accounts have the same token.
     #[error("{key} has the same token as {other}")]
     Token {
         /// The entry.
@@ -231,51 +231,51 @@
         /// The account that has the token.
         other: String,
     },
-    /// The caller made its change on a revision that is no longer in force.
+    /// The change requires a revision that is not the current one.
     #[error("the configuration is at revision {found}, not {wanted}")]
     Revision {
-        /// The revision the caller named.
+        /// The required revision.
         wanted: id::Revision,
-        /// The revision in force.
+        /// The current revision.
         found: id::Revision,
     },
 }
 
-/// How many writes are remembered, by which a lost answer is recognised.
+/// The number of writes kept. They show whether a write took effect when its reply is lost.
 pub const MAX_WRITES: usize = 16;
 
-/// How many revisions a deleted entry is remembered.
+/// The number of revisions for which the tombstone of a deleted entry is kept.
 pub const TOMBSTONE_REVISIONS: u64 = 256;
 
 impl Document {
-    /// The entry under `key`.
+    /// Returns the entry of `key`.
     pub fn get(&self, key: &Key) -> Option<&Entry> {
         self.entries.get(key)?.entry.as_ref()
     }
 
-    /// The revision that last changed the entry under `key`.
+    /// Returns the revision that last changed the entry of `key`.
     pub fn last_changed(&self, key: &Key) -> Option<id::Revision> {
         self.entries.get(key).map(|versioned| versioned.revision)
     }
 
-    /// Every entry with its name, in the order of the document.
+    /// Returns every entry with its key, in the order of the document.
     pub fn list_entries(&self) -> impl Iterator<Item = (&Key, &Entry)> {
         self.entries.iter().filter_map(|(key, versioned)| Some((key, versioned.entry.as_ref()?)))
     }
 
-    /// The entries of one kind.
+    /// Returns the names and entries of one kind.
     pub fn list_kind(&self, kind: Kind) -> impl Iterator<Item = (&str, &Entry)> {
         self.list_entries()
             .filter(move |(key, _)| key.kind == kind)
             .map(|(key, entry)| (key.name.as_str(), entry))
     }
 
-    /// The revision that a write made, if it took effect not long ago.
+    /// Returns the revision that a write created, if it is one of the latest [`MAX_WRITES`].
     pub fn find_write(&self, proposal: id::Proposal) -> Option<id::Revision> {
         self.writes.iter().find(|(_, written)| *written == proposal).map(|(revision, _)| *revision)
     }
 
-    /// The hall of a domain.
+    /// Returns the hall of a domain.
     pub fn find_hall(&self, domain: &id::Domain) -> Option<&id::Hall> {
         match self.get(&Key::new(Kind::Domain, domain))? {
             Entry::Domain { hall } => Some(hall),
@@ -283,7 +283,7 @@
         }
     }
 
-    /// The document after one change, or why it is refused. `entry` is none to delete.
+    /// Returns the document after one change. `entry` is `None` to delete the entry.
     pub fn change(
         &self,
         key: Key,
@@ -296,7 +296,7 @@
         }
         let mut next = self.clone();
         next.revision = self.revision.next();
-        // The changes of one batch are one write.
+        // The changes of one batch are a single write.
         next.writes.retain(|(_, written)| *written != proposal);
         next.writes.push_back((next.revision, proposal));
         if next.writes.len() > MAX_WRITES {
@@ -308,7 +308,7 @@
         Ok(next)
     }
 
-    /// What a holder of `base` lacks; the whole document when `base` lies below the floor.
+    /// Returns the changes since `base`, or the whole document if `base` is below the floor.
     pub fn delta(&self, base: id::Revision) -> Delta {
         let base = if base < self.floor { id::Revision(0) } else { base };
         let entries = self.entries.iter().filter(|(_, versioned)| versioned.revision > base);
@@ -321,9 +321,9 @@
         }
     }
 
-    /// Moves to the delta's revision if that is higher and the delta fits.
+    /// Applies the delta if its revision is higher than this one's and its base is not.
     ///
-    /// Returns whether the document changed. It never goes to a lower revision.
+    /// Returns whether the document changed.
     pub fn apply(&mut self, delta: Delta) -> bool {
         if delta.revision <= self.revision || delta.base > self.revision {
             return false;
@@ -405,7 +405,7 @@
     }
 
     #[test]
-    fn a_delta_brings_a_holder_to_the_same_document() {
+    fn a_delta_leads_to_the_same_document() {
         let one = Document::default().change(domain("d1"), hall("a"), id::Proposal(1)).unwrap();
         let two = one.change(domain("d2"), hall("b"), id::Proposal(2)).unwrap();
         let three = two.change(domain("d1"), None, id::Proposal(3)).unwrap();
@@ -417,7 +417,7 @@
     }
 
     #[test]
-    fn a_holder_below_the_floor_gets_the_whole_document() {
+    fn a_delta_from_below_the_floor_is_the_whole_document() {
         let mut document = Document::default().change(domain("gone"), hall("a"), id::Proposal(0)).unwrap();
         let old = document.clone();
         document = document.change(domain("gone"), None, id::Proposal(1)).unwrap();
@@ -430,7 +430,7 @@
     }
 
     #[test]
-    fn changes_that_would_dangle_are_refused() {
+    fn changes_with_dangling_references_are_rejected() {
         let document = Document::default();
         let group = Entry::Group {
             domain: "d1".parse().unwrap(),
--- a/crates/kernel/src/domain.rs
+++ b/crates/kernel/src/domain.rs
@@ -1,9 +1,9 @@
 //! The store document of one fabric domain: which runner is in which group.
 //!
 //! A group never leaves its domain, so one compare-and-swap of this document
-//! moves whole groups, and no runner can be in two of them. Generations count
-//! over the whole domain: every change takes the next one, and a runner that
-//! has obeyed it refuses all before.
+//! changes whole groups, and no runner can be in two of them. Generations are
+//! numbered per domain: every change uses the next one, and a runner that has
+//! executed an order of that generation rejects those of earlier generations.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::fmt;
@@ -14,34 +14,34 @@
 use crate::clock::Millis;
 use crate::id;
 
-/// The store's key of a domain's document.
+/// Returns the store key of a domain's document.
 pub fn key(domain: &id::Domain) -> String {
     format!("cottoncrank/domain/{domain}")
 }
 
-/// How many past events the document keeps for `explain`.
+/// The number of past events that the document keeps for the command `explain`.
 pub const MAX_EVENTS: usize = 32;
 
-/// What a group may do.
+/// The phase of a group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Phase {
-    /// Serve as soon as, and only while, every member is ready.
+    /// Serve requests while every member is ready.
     Serve,
-    /// Take no new work; members leave once nothing is in flight.
+    /// Accept no new requests; the members leave when no request is in flight.
     Drain,
 }
 
-/// A runner's member in a group. The rank is the member's index.
+/// The placement of a runner in a group. Its index in the group is the rank.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Placement {
     /// The runner.
     pub runner: id::Runner,
-    /// The life of the runner that was given the member. A later life has
-    /// lost it, whatever it says.
+    /// The incarnation of the runner that got the placement. A later incarnation has
+    /// lost it, whatever it reports.
     pub incarnation: id::Incarnation,
 }
 
-/// A group as assigned.
+/// A group as planned.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Group {
     /// The generation of its latest change.
@@ -50,89 +50,89 @@
     pub model: id::Model,
     /// Its runners in rank order.
     pub members: Vec<Placement>,
-    /// What it may do.
+    /// Its phase.
     pub phase: Phase,
 }
 
 impl Group {
-    /// The member of `runner` in this group.
+    /// Returns the placement of `runner` in this group.
     pub fn find_member(&self, runner: &id::Runner) -> Option<&Placement> {
         self.members.iter().find(|member| member.runner == *runner)
     }
 }
 
-/// A runner that checks no fence and whose old role is not confirmed ended.
+/// A runner that does not check generations and has not yet confirmed the end of its old role.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Quarantine {
-    /// The generation that took the runner out of its group.
+    /// The generation that removed the runner from its group.
     pub generation: id::Generation,
 }
 
-/// Something that was decided, with what spoke for it.
+/// A decision and its cause.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Event {
-    /// When it was decided.
+    /// The time of the decision.
     pub at: Millis,
-    /// The node that decided.
+    /// The node that made the decision.
     pub by: id::Node,
-    /// The group concerned.
+    /// The group.
     pub group: id::Group,
-    /// The generation that came of it.
+    /// The resulting generation.
     pub generation: id::Generation,
     /// The decision.
     pub action: Action,
-    /// What was seen that led to it.
+    /// The cause of the decision.
     pub cause: Cause,
-    /// Other ways and why they were passed over.
+    /// The alternatives that were rejected, with the reasons.
     pub passed: Vec<Alternative>,
 }
 
-/// What was decided.
+/// The action of a decision.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Action {
-    /// The group was formed of these runners.
+    /// The group was formed from these runners.
     Form(Vec<id::Runner>),
-    /// One runner took the member of another.
+    /// One runner replaced another.
     Replace {
         /// The runner that left.
         out: id::Runner,
-        /// The runner that came.
+        /// The runner that joined.
         into: id::Runner,
     },
-    /// All members load again in the same places.
+    /// All members load the model again with the same ranks.
     Reload,
-    /// The group takes no new work.
+    /// The group accepts no new requests.
     Drain,
-    /// The group was taken apart.
+    /// The group was dissolved.
     Dissolve,
 }
 
-/// What led to a decision.
+/// The cause of a decision.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Cause {
-    /// The configuration asks for it.
+    /// The configuration requires it.
     Configured(id::Revision),
-    /// Independent watchers could not reach the runner.
+    /// Several nodes independently could not reach the runner.
     Missing {
         /// The runner.
         runner: id::Runner,
-        /// The watchers, and the list if it agrees.
+        /// Those nodes, and the list if it reports the runner missing as well.
         witnesses: Vec<String>,
     },
-    /// The runner started again and knows nothing of its role.
+    /// The runner restarted and lost its role.
     Restarted(id::Runner),
-    /// The list or the operators want the runner to leave.
+    /// The list or the operators ask the runner to leave.
     Leaving(id::Runner),
-    /// Nothing was in flight any more.
+    /// No request is in flight any more.
     Drained,
 }
 
-/// A way that was not taken.
+/// An alternative that was rejected.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Alternative {
-    /// The way.
+    /// The alternative.
     pub option: String,
-    /// Why not.
+    /// The reason for the rejection.
     pub reason: String,
 }
 
@@ -155,44 +155,44 @@
             Cause::Missing { runner, witnesses } => {
                 write!(f, "{runner} is missing, seen by {}", join_names(witnesses))
             }
-            Cause::Restarted(runner) => write!(f, "{runner} started again and lost its role"),
+            Cause::Restarted(runner) => write!(f, "{runner} restarted and lost its role"),
             Cause::Leaving(runner) => write!(f, "{runner} is leaving"),
-            Cause::Drained => f.write_str("nothing was in flight any more"),
+            Cause::Drained => f.write_str("no request is in flight any more"),
         }
     }
 }
 
-/// The names with commas between them.
+/// Joins names with commas.
 pub fn join_names<T: fmt::Display>(names: &[T]) -> String {
     names.iter().map(T::to_string).collect::<Vec<_>>().join(", ")
 }
 
-/// The assignment of one fabric domain.
+/// The plan of one fabric domain.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Document {
-    /// The newest generation given out.
+    /// The newest generation that was used.
     pub generation: id::Generation,
-    /// The write that made this document.
+    /// The write that created this document.
     pub proposal: id::Proposal,
     /// The groups.
     pub groups: BTreeMap<id::Group, Group>,
-    /// Runners that may not be used yet.
+    /// The runners that may not be used yet.
     pub quarantine: BTreeMap<id::Runner, Quarantine>,
     /// Past events, oldest first.
     pub events: VecDeque<Event>,
 }
 
-/// A document that breaks an invariant. It is never written.
+/// An invariant that a document violates. Such a document is never written.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum CheckError {
-    /// A runner stands twice.
-    #[error("runner {0} is in two places")]
+    /// A runner is a member twice.
+    #[error("runner {0} is a member twice")]
     DuplicateRunner(id::Runner),
-    /// A group's generation lies above the domain's.
-    #[error("group {0} has a generation that was never given out")]
+    /// A group's generation is higher than the domain's.
+    #[error("group {0} has a generation above the domain's")]
     UnknownGeneration(id::Group),
-    /// Two groups share a generation.
-    #[error("generation {0} was given to two groups")]
+    /// Two groups have the same generation.
+    #[error("two groups have generation {0}")]
     SharedGeneration(id::Generation),
     /// A member is in quarantine.
     #[error("runner {0} is a member while in quarantine")]
@@ -200,7 +200,7 @@
 }
 
 impl Document {
-    /// Checks that no runner is in two groups and that generations are sound.
+    /// Checks that no runner is a member twice or in quarantine, and that generations are valid.
     pub fn check(&self) -> Result<(), CheckError> {
         let mut seen = BTreeSet::new();
         let mut generations = BTreeSet::new();
@@ -223,12 +223,12 @@
         Ok(())
     }
 
-    /// The group that a runner is assigned to.
+    /// Returns the group that a runner is a member of.
     pub fn find_group(&self, runner: &id::Runner) -> Option<(&id::Group, &Group)> {
         self.groups.iter().find(|(_, group)| group.find_member(runner).is_some())
     }
 
-    /// Adds an event and forgets the oldest beyond [`MAX_EVENTS`].
+    /// Adds an event and removes the oldest ones beyond [`MAX_EVENTS`].
     pub fn record_event(&mut self, event: Event) {
         self.events.push_back(event);
         while self.events.len() > MAX_EVENTS {
@@ -255,7 +255,7 @@
     }
 
     #[test]
-    fn a_runner_in_two_groups_is_caught() {
+    fn a_runner_in_two_groups_is_an_error() {
         let mut document = Document { generation: id::Generation(2), ..Document::default() };
         document.groups.insert("a".parse().unwrap(), group(1, &["r1", "r2"]));
         document.groups.insert("b".parse().unwrap(), group(2, &["r3"]));
@@ -265,7 +265,7 @@
     }
 
     #[test]
-    fn a_shared_generation_is_caught() {
+    fn a_shared_generation_is_an_error() {
         let mut document = Document { generation: id::Generation(2), ..Document::default() };
         document.groups.insert("a".parse().unwrap(), group(1, &["r1"]));
         document.groups.insert("b".parse().unwrap(), group(1, &["r3"]));
@@ -273,7 +273,7 @@
     }
 
     #[test]
-    fn a_large_domain_fits_into_a_value_with_room() {
+    fn a_large_domain_uses_a_small_part_of_a_store_value() {
         let names: Vec<String> = (0..32).map(|n| format!("runner-domain-1-{n}")).collect();
         let members: Vec<&str> = names.iter().map(String::as_str).collect();
         let mut document = Document { generation: id::Generation(18), ..Document::default() };
--- a/crates/kernel/src/engine.rs
+++ b/crates/kernel/src/engine.rs
@@ -7,40 +7,40 @@
 use crate::clock::Millis;
 use crate::id;
 
-/// One life of a runner's place in a group: which group, which generation, which rank.
+/// The role of a runner: its group, generation and rank.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Role {
     /// The group.
     pub group: id::Group,
-    /// The generation that gave the role.
+    /// The generation that assigned the role.
     pub generation: id::Generation,
-    /// The place inside the group; rank 0 takes the requests.
+    /// The rank in the group; rank 0 receives the requests.
     pub rank: u16,
 }
 
 /// An order to a runner, fenced by its generation.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Order {
-    /// Take a role and load the model.
+    /// Start a role and load the model.
     Take {
         /// The role.
         role: Role,
-        /// The life of the runner that the order is for.
+        /// The incarnation of the runner that the order is for.
         incarnation: id::Incarnation,
         /// The model to load.
         model: id::Model,
         /// The engines of the whole group, in rank order.
         members: Vec<SocketAddr>,
     },
-    /// Give up any role up to the generation.
+    /// End every role up to the generation.
     Release {
-        /// Roles up to this generation end.
+        /// The highest generation of the roles that end.
         generation: id::Generation,
     },
 }
 
 impl Order {
-    /// The generation that fences the order.
+    /// Returns the generation that fences the order.
     pub fn generation(&self) -> id::Generation {
         match self {
             Order::Take { role, .. } => role.generation,
@@ -49,50 +49,50 @@
     }
 }
 
-/// The answer to an order.
+/// The reply to an order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum OrderReply {
-    /// The order was taken.
+    /// The order is accepted.
     Yes,
-    /// The runner has obeyed a newer generation before.
+    /// The runner has already executed an order of a newer generation.
     Fenced {
         /// That generation.
         held: id::Generation,
     },
-    /// The order was for an earlier life of the runner.
+    /// The order is for an earlier incarnation of the runner.
     Reborn {
-        /// Its present life.
+        /// The current incarnation.
         incarnation: id::Incarnation,
     },
 }
 
-/// How far a runner is with its role.
+/// The progress of a runner with its role.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Stage {
     /// No role.
     Idle,
     /// Loading weights.
     Loading,
-    /// Loaded and able to take part.
+    /// Loaded and ready to serve.
     Ready,
 }
 
-/// What a runner says of itself.
+/// The state that a runner reports.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Status {
-    /// Its present life.
+    /// The current incarnation.
     pub incarnation: id::Incarnation,
-    /// The newest generation it has obeyed.
+    /// The newest generation of which it has executed an order.
     pub fence: id::Generation,
     /// Its role, if any.
     pub role: Option<Role>,
-    /// How far it is.
+    /// The progress with the role.
     pub stage: Stage,
-    /// The model whose weights it still holds.
+    /// The model whose weights are still loaded, if any.
     pub warm: Option<id::Model>,
     /// Requests in flight; rank 0 only.
     pub running: u32,
-    /// Tokens still to generate for them, as of the last report.
+    /// Tokens left to generate for these requests, as of the last report.
     pub backlog: u64,
 }
 
@@ -107,79 +107,79 @@
     pub generation: id::Generation,
     /// The prompt.
     pub prompt: String,
-    /// The most tokens to generate.
+    /// The maximum number of tokens to generate.
     pub max_tokens: u32,
-    /// Tokens the caller has already; generation goes on behind them.
+    /// The number of tokens the caller already has; generation continues after them.
     pub offset: u32,
-    /// Higher goes first.
+    /// Requests with a higher priority run first.
     pub priority: u8,
 }
 
-/// A refusal: the request was not run.
+/// The rejection of a request, which was not run.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Rejection {
-    /// The request refused.
+    /// The rejected request.
     pub request: id::Request,
     /// The generation named in the request.
     pub generation: id::Generation,
-    /// Why.
+    /// The reason.
     pub reason: Reason,
 }
 
-/// Why an engine refuses a request.
+/// The reason for which an engine rejects a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Reason {
-    /// It is in another group or generation.
+    /// The runner is in another group or generation.
     Generation,
-    /// It is loading, or a member of the group does not answer.
+    /// The runner is loading, or a member of the group does not respond.
     Incomplete,
-    /// Its queue is full.
+    /// The queue is full.
     Full,
 }
 
-/// A piece of an answer.
+/// A part of an answer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Frame {
     /// The request it answers.
     pub request: id::Request,
-    /// The generation that runs it.
+    /// The generation that runs the request.
     pub generation: id::Generation,
-    /// Tokens before this frame.
+    /// The number of tokens before this frame.
     pub offset: u32,
     /// The text of the tokens in this frame.
     pub text: String,
-    /// How many tokens the text has.
+    /// The number of tokens in the text.
     pub tokens: u32,
-    /// Set on the last frame.
+    /// Why the answer ended; set in the last frame only.
     pub finish: Option<Finish>,
 }
 
-/// How an answer ended.
+/// The reason for which an answer ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Finish {
-    /// The model had no more to say.
+    /// The model completed the answer.
     Stop,
     /// The token limit was reached.
     Length,
 }
 
-/// A failure that a test or the demo asks a stand-in to show.
+/// A fault that a test or the demo injects into a stand-in.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Fault {
-    /// Nothing is answered, on any connection.
+    /// No connection gets an answer.
     pub paused: bool,
-    /// Everything takes this many times as long; 0 and 1 are normal.
+    /// The factor by which everything is slower; 0 and 1 are normal.
     pub slow: u32,
-    /// The next answer carries another request's id.
+    /// The next answer has the id of another request.
     pub crossed: bool,
-    /// The next answer ends early, without its last frame.
+    /// The next answer ends without its last frame.
     pub truncated: bool,
     /// The next answer sends each frame twice.
     pub doubled: bool,
-    /// Forget every role, as after a restart nobody saw.
+    /// Every role is lost, as after an unnoticed restart.
     pub reborn: bool,
-    /// The next answer is held back this long before its first frame.
+    /// The delay of the first frame of the next answer.
     pub late: Millis,
 }
--- a/crates/kernel/src/registry.rs
+++ b/crates/kernel/src/registry.rs
@@ -1,4 +1,4 @@
-//! The registry of plug-ins, to which each plug-in adds itself at link time.
+//! The registry of plug-ins, in which each plug-in registers itself.
 //!
 //! A plug-in is a named value that the program looks up once, at startup. The value is a
 //! plain enum, so requests need no lookup.
