--- a/crates/kernel/src/config.rs
+++ b/crates/kernel/src/config.rs
@@ -224,7 +224,7 @@
     #[error("group {0} needs a size of at least 1")]
     Size(String),
     /// Two accounts have the same token.
-    #[error("{key} has the same token as {other}")]
+    #[error("the token of {key} is taken by {other}")]
     Token {
         /// The entry.
         key: String,
--- a/crates/kernel/src/domain.rs
+++ b/crates/kernel/src/domain.rs
@@ -139,7 +139,7 @@
 impl fmt::Display for Action {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Action::Form(members) => write!(f, "form of {}", join_names(members)),
+            Action::Form(members) => write!(f, "form from {}", join_names(members)),
             Action::Replace { out, into } => write!(f, "replace {out} by {into}"),
             Action::Reload => f.write_str("load again on the same runners"),
             Action::Drain => f.write_str("drain"),
