--- a/crates/kernel/src/id.rs
+++ b/crates/kernel/src/id.rs
@@ -1,4 +1,4 @@
-//! Names and numbers that tell things apart. Each is a type of its own.
+//! Identifiers: names and numbers, each kind with its own type.
 
 use std::fmt;
 use std::str::FromStr;
@@ -7,14 +7,14 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// The longest name allowed, in bytes.
-pub const NAME_MAX: usize = 64;
+/// The maximum length of a name, in bytes.
+pub const MAX_NAME_LEN: usize = 64;
 
-/// A name or number that could not be read.
+/// An error in parsing a name or number.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum IdError {
-    /// The name is empty or longer than [`NAME_MAX`] bytes.
-    #[error("a name has 1 to {NAME_MAX} characters, `{0}` has {len}", len = .0.len())]
+    /// The name is empty or longer than [`MAX_NAME_LEN`] bytes.
+    #[error("a name has 1 to {MAX_NAME_LEN} characters, `{0}` has {len}", len = .0.len())]
     Length(String),
     /// The name has a character that is not allowed.
     #[error("`{name}` has `{found}`; a name has letters, digits, `-`, `_` and `.` only")]
@@ -24,13 +24,13 @@
         /// The first character that is not allowed.
         found: char,
     },
-    /// The text is no number of this kind.
+    /// The text is not a number.
     #[error("`{0}` is not a number of this kind")]
     Number(String),
 }
 
 fn check_name(text: &str) -> Result<(), IdError> {
-    if text.is_empty() || text.len() > NAME_MAX {
+    if text.is_empty() || text.len() > MAX_NAME_LEN {
         return Err(IdError::Length(text.to_owned()));
     }
     let allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
@@ -40,7 +40,7 @@
     }
 }
 
-macro_rules! name {
+macro_rules! name_type {
     ($(#[$doc:meta])* $id:ident) => {
         $(#[$doc])*
         #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -48,7 +48,7 @@
         pub struct $id(Arc<str>);
 
         impl $id {
-            /// The name as text.
+            /// Returns the name as text.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -89,7 +89,7 @@
     };
 }
 
-macro_rules! number {
+macro_rules! number_type {
     ($(#[$doc:meta])* $id:ident) => {
         $(#[$doc])*
         #[derive(
@@ -98,7 +98,7 @@
         pub struct $id(pub u64);
 
         impl $id {
-            /// The number that follows.
+            /// Returns the next number.
             pub fn next(self) -> $id {
                 $id(self.0 + 1)
             }
@@ -119,58 +119,58 @@
     };
 }
 
-name! {
+name_type! {
     /// A node: one entry box of the system, with its entry and its controller.
     Node
 }
-name! {
+name_type! {
     /// A data hall.
     Hall
 }
-name! {
+name_type! {
     /// A fabric domain: backend servers that share a fast network.
     Domain
 }
-name! {
-    /// A runner: one backend server box, a possible member of a group.
+name_type! {
+    /// A runner: one backend server box that can be a member of a group.
     Runner
 }
-name! {
+name_type! {
     /// A serving group: one replica of a model over several runners.
     Group
 }
-name! {
-    /// A model with its version, as callers name it.
+name_type! {
+    /// A model and its version, as named in requests.
     Model
 }
-name! {
-    /// A plain service beside the model engines.
+name_type! {
+    /// A plain service, which needs no model engine.
     Service
 }
-name! {
+name_type! {
     /// A client account.
     Account
 }
 
-number! {
-    /// The revision of the accepted configuration. It only rises.
+number_type! {
+    /// The revision of the accepted configuration. It only increases.
     Revision
 }
-number! {
-    /// The generation of a group. It rises with every change inside its domain
+number_type! {
+    /// The generation of a group. It increases with every change in its domain
     /// and fences orders and requests.
     Generation
 }
-number! {
-    /// One life of a process; a process that starts again has a higher one.
+number_type! {
+    /// The number of one run of a process. It is higher after each restart.
     Incarnation
 }
-number! {
-    /// A request from a caller, unique over the fleet for all practical purposes.
+number_type! {
+    /// A caller's request. A duplicate number in the fleet is possible but very unlikely.
     Request
 }
-number! {
-    /// A write proposed to the store, by which a lost answer is recognised.
+number_type! {
+    /// A write proposed to the store. It shows whether the write took effect when the reply is lost.
     Proposal
 }
 
@@ -188,7 +188,7 @@
     }
 
     #[test]
-    fn a_bad_name_is_refused_while_decoding() {
+    fn decoding_rejects_an_invalid_name() {
         let bad = rmp_serde::to_vec("a b").unwrap();
         assert!(rmp_serde::from_slice::<Runner>(&bad).is_err());
     }
