--- a/crates/fleet/src/adopt.rs
+++ b/crates/fleet/src/adopt.rs
@@ -13,7 +13,7 @@
 use crate::plan::{Document, Group, Plans, State};
 use crate::roster::Roster;
 use crate::runner::{Epoch, Runner};
-use crate::scene::name_solo;
+use crate::snapshot::name_solo;
 
 /// What lost plans were found to have held.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
--- a/crates/fleet/src/census.rs
+++ b/crates/fleet/src/census.rs
@@ -9,7 +9,7 @@
 use crate::catalog::Engine;
 use crate::plan::Group;
 use crate::runner::{Phase, Runner};
-use crate::scene::{Scene, find_phase, list_sites, time_join};
+use crate::snapshot::{Snapshot, find_phase, list_drafts, time_join};
 
 /// The groups of one model.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -44,11 +44,11 @@
 }
 
 /// Counts what the groups and runners of a service are doing.
-pub fn count(scene: &Scene, engine: &Engine) -> Census {
-    let groups: Vec<&Group> = scene.plans.values().flat_map(|plan| &plan.groups).collect();
-    let free: Vec<&Runner> = list_sites(scene).iter().flat_map(|site| site.list_free()).collect();
+pub fn count(snapshot: &Snapshot, engine: &Engine) -> Census {
+    let groups: Vec<&Group> = snapshot.plans.values().flat_map(|plan| &plan.groups).collect();
+    let free: Vec<&Runner> = list_drafts(snapshot).iter().flat_map(|draft| draft.list_free()).collect();
     let is_open = |group: &Group| {
-        let head = group.head().and_then(|id| scene.find(id));
+        let head = group.head().and_then(|id| snapshot.find(id));
         !group.is_retired() && head.is_some_and(|head| find_phase(head, group) == Some(Phase::Open))
     };
     let rows = engine.models.iter().map(|model| {
@@ -64,7 +64,7 @@
         }
     });
     let rows = rows.collect();
-    let of_service = scene.roster.iter().filter(|runner| runner.service == scene.service.id);
+    let of_service = snapshot.roster.iter().filter(|runner| runner.service == snapshot.service.id);
     let planned: HashMap<&id::Runner, &Group> =
         groups.iter().flat_map(|group| group.members.iter().map(|member| (member, *group))).collect();
     let mut census = Census { rows, free: free.len(), ..Census::default() };
--- a/crates/fleet/src/decide.rs
+++ b/crates/fleet/src/decide.rs
@@ -11,8 +11,8 @@
 use cottoncrank::id;
 
 use crate::catalog::{Engine, Model};
-use crate::desk::Desk;
 use crate::form::{find_top, form_groups};
+use crate::issuer::Issuer;
 use crate::loads::Purpose;
 use crate::loss::{mark_halted, release_groups, retire_groups};
 use crate::memory::Memory;
@@ -24,9 +24,9 @@
 use crate::preload::order_preloads;
 use crate::reserve::Risk;
 use crate::runner::Runner;
-use crate::scene::{Scene, list_sites};
-use crate::share::list_lacking;
+use crate::snapshot::{Snapshot, list_drafts};
 use crate::staging::order_staging;
+use crate::targets::list_shortages;
 
 /// What is to be done.
 #[derive(Clone, Debug, Default)]
@@ -38,56 +38,63 @@
 }
 
 /// Decides what to do next.
-pub fn step(scene: &Scene, memory: &mut Memory) -> Step {
-    let Some(published) = &scene.service.engine else { return Step::default() };
-    memory.forget(scene);
-    let demand = memory.demands.entry(scene.service.id.clone()).or_default();
-    if let Some(in_flight) = scene.in_flight.filter(|_| scene.serving) {
-        demand.note(list_used(scene, &published.models, in_flight), scene.now);
+pub fn step(snapshot: &Snapshot, memory: &mut Memory) -> Step {
+    let Some(published) = &snapshot.service.engine else { return Step::default() };
+    memory.forget(snapshot);
+    let demand = memory.demands.entry(snapshot.service.id.clone()).or_default();
+    if let Some(in_flight) = snapshot.in_flight.filter(|_| snapshot.serving) {
+        demand.note(list_used(snapshot, &published.models, in_flight), snapshot.now);
     }
     let engine = &Engine { models: demand.adjust(&published.models), ..published.clone() };
-    let mut sites = list_sites(scene);
+    let mut drafts = list_drafts(snapshot);
     let mut lost = 0;
-    for site in &mut sites {
-        lost += retire_groups(scene, site, memory);
-        mark_halted(site, memory);
-        release_groups(scene, site, memory);
+    for draft in &mut drafts {
+        lost += retire_groups(snapshot, draft, memory);
+        mark_halted(draft, memory);
+        release_groups(snapshot, draft, memory);
     }
-    let members = sites.iter().flat_map(|site| &site.plan.groups).map(|group| group.members.len()).sum();
-    memory.losses.note(members, lost, scene.now);
-    let runners = sites.iter().map(|site| site.runners.len()).sum();
-    let risk = Risk::assess(&memory.losses, engine, runners, sites.len());
-    if scene.serving {
-        preempt_groups(scene, &engine.models, &risk, &mut sites);
+    let members = drafts.iter().flat_map(|draft| &draft.plan.groups).map(|group| group.members.len()).sum();
+    memory.losses.note(members, lost, snapshot.now);
+    let runners = drafts.iter().map(|draft| draft.runners.len()).sum();
+    let risk = Risk::assess(&memory.losses, engine, runners, drafts.len());
+    if snapshot.serving {
+        preempt_groups(snapshot, &engine.models, &risk, &mut drafts);
     }
-    let settled = memory.is_settled(runners, scene.now);
-    let waiting = form_groups(scene, engine, &mut sites, &risk, memory, settled);
+    let settled = memory.is_settled(runners, snapshot.now);
+    let waiting = form_groups(snapshot, engine, &mut drafts, &risk, memory, settled);
     let mut step = Step::default();
-    let lacking = list_lacking(&engine.models, &sites, &risk);
-    let allowed = |purpose| memory.loads.allowed(scene.now, engine, scene.ceiling, scene.serving, purpose);
+    let shortages = list_shortages(&engine.models, &drafts, &risk);
+    let allowed =
+        |purpose| memory.loads.allowed(snapshot.now, engine, snapshot.ceiling, snapshot.serving, purpose);
     let (repairs, reserves) = (allowed(Purpose::Repair), allowed(Purpose::Reserve));
-    let mut desk =
-        Desk { now: scene.now, memory, orders: &mut step.orders, repairs, reserves, serving: scene.serving };
-    for site in &sites {
-        list_orders(scene, site, &mut desk);
+    let mut issuer = Issuer {
+        now: snapshot.now,
+        memory,
+        orders: &mut step.orders,
+        repairs,
+        reserves,
+        serving: snapshot.serving,
+    };
+    for draft in &drafts {
+        list_orders(snapshot, draft, &mut issuer);
     }
     // Before callers come, loads are short, and groups go first.
-    if scene.serving || (!waiting && settled) {
-        order_staging(scene, engine, &risk, &lacking, &sites, &mut desk);
-        order_preloads(&engine.models, &sites, find_top(scene, &sites), &mut desk);
+    if snapshot.serving || (!waiting && settled) {
+        order_staging(snapshot, engine, &risk, &shortages, &drafts, &mut issuer);
+        order_preloads(&engine.models, &drafts, find_top(snapshot, &drafts), &mut issuer);
     }
-    let changed = sites.into_iter().filter(|site| match scene.plans.get(&site.id) {
-        Some(plan) => *plan != site.plan,
-        None => !site.plan.groups.is_empty(),
+    let changed = drafts.into_iter().filter(|draft| match snapshot.plans.get(&draft.id) {
+        Some(plan) => *plan != draft.plan,
+        None => !draft.plan.groups.is_empty(),
     });
-    step.writes = changed.map(|site| (site.id, site.plan, site.reasons)).collect();
+    step.writes = changed.map(|draft| (draft.id, draft.plan, draft.reasons)).collect();
     step
 }
 
 /// The part of its slots in use, for each model that has open groups.
-fn list_used(scene: &Scene, models: &[Model], in_flight: &Counts) -> Vec<(id::Model, f64)> {
+fn list_used(snapshot: &Snapshot, models: &[Model], in_flight: &Counts) -> Vec<(id::Model, f64)> {
     let used = |model: &Model| {
-        let heads = scene.roster.list_heads(&scene.service.id, &model.name, scene.plans);
+        let heads = snapshot.roster.list_heads(&snapshot.service.id, &model.name, snapshot.plans);
         let running = |head: &Runner| {
             let epoch = head.membership.as_ref().map(|place| place.epoch)?;
             Some(in_flight.get(&epoch).copied().unwrap_or(0).min(head.slots))
--- a/crates/fleet/src/demand.rs
+++ b/crates/fleet/src/demand.rs
@@ -49,7 +49,7 @@
 
 /// Which part of the runners a model is to have, and why.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Part {
+pub struct Share {
     /// The model.
     pub model: id::Model,
     /// What operators published, 0 to 1.
@@ -60,16 +60,16 @@
     pub used: Option<f64>,
 }
 
-impl Part {
+impl Share {
     /// Whether what it is to have differs from `other` by enough to say so.
-    pub fn differs(&self, other: &Part) -> bool {
+    pub fn differs(&self, other: &Share) -> bool {
         self.model != other.model || (self.needed - other.needed).abs() >= TOLD
     }
 }
 
-impl fmt::Display for Part {
+impl fmt::Display for Share {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Part { model, published, needed, used } = self;
+        let Share { model, published, needed, used } = self;
         let used = used.map_or("unknown".to_owned(), |used| format!("{used:.2}"));
         write!(f, "{model} gets {needed:.2} of the runners, published {published:.2}, slots in use {used}")
     }
@@ -112,9 +112,9 @@
     }
 
     /// The parts of all models, for the log.
-    pub fn list_parts(&self, models: &[Model]) -> Vec<Part> {
+    pub fn list_shares(&self, models: &[Model]) -> Vec<Share> {
         let adjusted = self.adjust(models);
-        let parts = models.iter().zip(adjusted).map(|(published, needed)| Part {
+        let parts = models.iter().zip(adjusted).map(|(published, needed)| Share {
             model: published.name.clone(),
             published: published.share,
             needed: needed.share,
--- a/crates/fleet/src/form.rs
+++ b/crates/fleet/src/form.rs
@@ -8,8 +8,8 @@
 use crate::plan::{Group, State};
 use crate::reserve::Risk;
 use crate::runner::{Epoch, Runner};
-use crate::scene::{Scene, Site, time_join};
-use crate::share::{count_alive, list_wanted};
+use crate::snapshot::{Draft, Snapshot, time_join};
+use crate::targets::{count_active, list_targets};
 
 /// Forming a group this much sooner is worth as much as the whole of what a
 /// model is meant to have: about the time of a load from the weight store.
@@ -37,7 +37,7 @@
 
 /// A group that could be formed now.
 struct Choice {
-    site: usize,
+    draft: usize,
     model: usize,
     members: Vec<id::Runner>,
     loads: usize,
@@ -58,45 +58,52 @@
 /// Forms groups out of free runners, of the model that lacks most first.
 /// Returns whether one waits until its members may begin to load.
 pub(crate) fn form_groups(
-    scene: &Scene,
+    snapshot: &Snapshot,
     engine: &Engine,
-    sites: &mut [Site],
+    drafts: &mut [Draft],
     risk: &Risk,
     memory: &mut Memory,
     settled: bool,
 ) -> bool {
     let models = &engine.models;
-    let wanted = list_wanted(models, sites, risk);
-    let mut alive = count_alive(models, sites);
-    while let Some(choice) =
-        find_choice(scene, models, sites, risk, memory, Counts { alive: &alive, wanted: &wanted, settled })
-    {
+    let wanted = list_targets(models, drafts, risk);
+    let mut alive = count_active(models, drafts);
+    while let Some(choice) = find_choice(
+        snapshot,
+        models,
+        drafts,
+        risk,
+        memory,
+        Counts { alive: &alive, wanted: &wanted, settled },
+    ) {
         // A model without any group does not wait until others have loaded.
-        let patient = scene.serving && alive[choice.model] > 0;
-        if choice.loads > memory.loads.allowed(scene.now, engine, scene.ceiling, patient, Purpose::Repair) {
+        let patient = snapshot.serving && alive[choice.model] > 0;
+        if choice.loads
+            > memory.loads.allowed(snapshot.now, engine, snapshot.ceiling, patient, Purpose::Repair)
+        {
             return true;
         }
         memory.loads.begin(
-            scene.now,
+            snapshot.now,
             choice.loads,
             models[choice.model].load,
-            scene.serving,
+            snapshot.serving,
             Purpose::Repair,
         );
         alive[choice.model] += 1;
-        let epoch = find_top(scene, sites).next();
-        let site = &mut sites[choice.site];
+        let epoch = find_top(snapshot, drafts).next();
+        let draft = &mut drafts[choice.draft];
         let name: id::Group = format!("g{epoch}").parse().expect("a letter and digits are a name");
         let model = models[choice.model].name.clone();
         let text = choice.members.iter().map(id::Runner::as_str).collect::<Vec<_>>().join(" ");
-        site.reasons.push(format!("form {name} of {model} with {text}"));
-        site.plan.top = epoch;
-        site.plan.groups.push(Group {
+        draft.reasons.push(format!("form {name} of {model} with {text}"));
+        draft.plan.top = epoch;
+        draft.plan.groups.push(Group {
             name,
             epoch,
-            service: scene.service.id.clone(),
+            service: snapshot.service.id.clone(),
             model,
-            lives: choice.members.iter().map(|id| scene.roster.get(id)?.life).collect(),
+            lives: choice.members.iter().map(|id| snapshot.roster.get(id)?.life).collect(),
             members: choice.members,
             state: State::Active,
             still: false,
@@ -106,30 +113,30 @@
 }
 
 /// The highest epoch known of, planned or seen at a runner.
-pub(crate) fn find_top(scene: &Scene, sites: &[Site]) -> Epoch {
-    let planned = sites.iter().map(|site| site.plan.top);
-    let kept = scene.plans.values().map(|plan| plan.top);
-    let seen = scene.roster.iter().filter_map(|runner| Some(runner.membership.as_ref()?.epoch));
+pub(crate) fn find_top(snapshot: &Snapshot, drafts: &[Draft]) -> Epoch {
+    let planned = drafts.iter().map(|draft| draft.plan.top);
+    let kept = snapshot.plans.values().map(|plan| plan.top);
+    let seen = snapshot.roster.iter().filter_map(|runner| Some(runner.membership.as_ref()?.epoch));
     planned.chain(kept).chain(seen).max().unwrap_or_default()
 }
 
 fn find_choice(
-    scene: &Scene,
+    snapshot: &Snapshot,
     models: &[Model],
-    sites: &[Site],
+    drafts: &[Draft],
     risk: &Risk,
     memory: &Memory,
     Counts { alive, wanted, settled }: Counts,
 ) -> Option<Choice> {
     let largest = models.iter().map(|model| model.size).max().unwrap_or_default();
     let mut best: Option<Choice> = None;
-    for (at, site) in sites.iter().enumerate() {
-        let free = site.list_free();
+    for (at, draft) in drafts.iter().enumerate() {
+        let free = draft.list_free();
         for (model_at, model) in models.iter().enumerate() {
             if free.len() < model.size {
                 continue;
             }
-            if !scene.serving && crowds_out(models, model, site, free.len(), alive, wanted, settled) {
+            if !snapshot.serving && crowds_out(models, model, draft, free.len(), alive, wanted, settled) {
                 continue;
             }
             let part = |at: usize| alive[at] as f64 / wanted[at];
@@ -153,7 +160,7 @@
             let loads = members.iter().filter(|runner| time_join(runner, model) == model.load).count();
             // A member that loads from the weight store is bound for many seconds.
             // Staged on the side instead, it stays free for whatever is lost next.
-            if loads > 0 && scene.serving && alive[model_at] > 0 {
+            if loads > 0 && snapshot.serving && alive[model_at] > 0 {
                 continue;
             }
             let part = part(model_at);
@@ -166,15 +173,15 @@
                 continue;
             }
             let time = if loads > 0 { Millis(0) } else { time };
-            let here = site.plan.groups.iter().filter(|group| group.model == model.name).count();
+            let here = draft.plan.groups.iter().filter(|group| group.model == model.name).count();
             let bare = model.size == largest && free.len() < model.size + RESERVE;
             // The free runners that hold a large model are what is left of a group and
             // what completes it: they go before all else, also beyond what is meant where
             // they have all served it, for serving another model would make them lose it.
             // Not so where callers want less of it than was published.
             let kept =
-                !is_lowered(scene, model) && members.iter().all(|runner| runner.has_served(&model.name));
-            let whole = scene.serving && loads == 0 && model.size == largest && (part < 1.0 || kept);
+                !is_lowered(snapshot, model) && members.iter().all(|runner| runner.has_served(&model.name));
+            let whole = snapshot.serving && loads == 0 && model.size == largest && (part < 1.0 || kept);
             let score = part
                 + time.0 as f64 / FORM_SCALE.0 as f64
                 + here as f64 * CROWDING
@@ -182,7 +189,7 @@
                 - if whole { WHOLE } else { 0.0 };
             if best.as_ref().is_none_or(|best| score < best.score) {
                 let members = members.iter().map(|runner| runner.id.clone()).collect();
-                best = Some(Choice { site: at, model: model_at, members, loads, score });
+                best = Some(Choice { draft: at, model: model_at, members, loads, score });
             }
         }
     }
@@ -190,8 +197,8 @@
 }
 
 /// Whether a model needs a smaller part of the runners than operators published for it.
-fn is_lowered(scene: &Scene, model: &Model) -> bool {
-    let published = scene.service.engine.iter().flat_map(|engine| &engine.models);
+fn is_lowered(snapshot: &Snapshot, model: &Model) -> bool {
+    let published = snapshot.service.engine.iter().flat_map(|engine| &engine.models);
     published.filter(|known| known.name == model.name).any(|known| model.share < known.share)
 }
 
@@ -201,7 +208,7 @@
 fn crowds_out(
     models: &[Model],
     model: &Model,
-    site: &Site,
+    draft: &Draft,
     free: usize,
     alive: &[usize],
     wanted: &[f64],
@@ -209,8 +216,8 @@
 ) -> bool {
     let Some(at) = (0..models.len()).max_by_key(|at| models[*at].size) else { return false };
     let large = &models[at];
-    let has_one = site.plan.groups.iter().any(|group| group.model == large.name);
-    let lacking = (alive[at] as f64) < wanted[at];
+    let has_one = draft.plan.groups.iter().any(|group| group.model == large.name);
+    let shortages = (alive[at] as f64) < wanted[at];
     let may_fit = free >= large.size || !settled;
-    model.size < large.size && lacking && !has_one && may_fit && free < model.size + large.size
+    model.size < large.size && shortages && !has_one && may_fit && free < model.size + large.size
 }
--- a/crates/fleet/src/desk.rs
+++ b/crates/fleet/src/issuer.rs
@@ -7,7 +7,7 @@
 use crate::runner::Runner;
 
 /// Gives each order once, and again when it shows no effect.
-pub(crate) struct Desk<'a> {
+pub(crate) struct Issuer<'a> {
     pub(crate) now: Millis,
     pub(crate) memory: &'a mut Memory,
     pub(crate) orders: &'a mut Vec<(id::Runner, Order)>,
@@ -18,7 +18,7 @@
     pub(crate) serving: bool,
 }
 
-impl Desk<'_> {
+impl Issuer<'_> {
     pub(crate) fn give(&mut self, runner: &id::Runner, order: Order) {
         let key = (runner.clone(), order);
         let pause = if self.memory.taken.contains(&key) { REPEAT_TAKEN } else { REPEAT };
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -5,9 +5,9 @@
 //!
 //! - What is known: [`position`] (where in the store's history), [`catalog`] (what operators want), [`runner`] and [`roster`] (the
 //!   runners and their lives), [`plan`] (which runner is meant for which group),
-//!   [`probe`], [`halt`], [`directory`], [`presence`] (which nodes are gone), [`occupancy`] (what all nodes have in flight),
+//!   [`probe`], [`stall`], [`directory`], [`presence`] (which nodes are gone), [`occupancy`] (what all nodes have in flight),
 //!   [`freshness`] (how long a node may rely on what it knows).
-//! - Decisions for groups: [`scene`] is what the deciding node looks at, [`memory`] what it
+//! - Decisions for groups: [`snapshot`] is what the deciding node looks at, [`memory`] what it
 //!   remembers, [`order`] what a runner is told; [`loss`], [`form`], [`preempt`], [`staging`],
 //!   [`orders`] and, for how many of each, [`demand`], [`reserve`], [`loads`] answer one
 //!   question each, and [`decide`] calls them; [`adopt`] finds groups whose plan was lost. [`census`] is what the log says of it.
@@ -30,7 +30,6 @@
 pub mod census;
 pub mod decide;
 pub mod demand;
-mod desk;
 pub mod directory;
 pub mod dispatch;
 pub mod event;
@@ -39,7 +38,7 @@
 pub mod form;
 pub mod freshness;
 pub mod gossip;
-pub mod halt;
+mod issuer;
 pub mod limit;
 pub mod loads;
 pub mod loss;
@@ -60,11 +59,12 @@
 pub mod roster;
 pub mod runner;
 pub mod said;
-pub mod scene;
 pub mod settings;
-mod share;
+pub mod snapshot;
 pub mod source;
 pub mod staging;
+pub mod stall;
 pub mod suspects;
+mod targets;
 pub mod throttle;
 pub mod trials;
--- a/crates/fleet/src/memory.rs
+++ b/crates/fleet/src/memory.rs
@@ -5,14 +5,14 @@
 use cottoncrank::{Millis, id};
 
 use crate::catalog::{Model, Service};
-use crate::demand::{Demand, Part};
-use crate::halt::Halts;
+use crate::demand::{Demand, Share};
 use crate::loads::{Loads, Purpose};
 use crate::order::{Order, REPEAT_TAKEN};
 use crate::reserve::Losses;
 use crate::roster::Roster;
 use crate::runner::{Epoch, Life, Runner, is_later};
-use crate::scene::Scene;
+use crate::snapshot::Snapshot;
+use crate::stall::Stalls;
 
 /// A fleet is taken to have all its runners when none has come for this long.
 /// Those that start together write their entries within a second.
@@ -68,14 +68,14 @@
 
 impl Memory {
     /// What a node starts with that begins to decide.
-    pub fn resume(halts: &Halts) -> Memory {
-        Memory { halted: halts.list(), ..Memory::default() }
+    pub fn resume(stalls: &Stalls) -> Memory {
+        Memory { halted: stalls.list(), ..Memory::default() }
     }
 
     /// Which part of the runners each model of a service is to have.
-    pub fn list_parts(&self, service: &Service) -> Vec<Part> {
+    pub fn list_shares(&self, service: &Service) -> Vec<Share> {
         let models = service.engine.iter().flat_map(|engine| &engine.models).cloned().collect::<Vec<_>>();
-        self.demands.get(&service.id).map_or(Vec::new(), |demand| demand.list_parts(&models))
+        self.demands.get(&service.id).map_or(Vec::new(), |demand| demand.list_shares(&models))
     }
 
     /// How many things are remembered; bounded by the runners and groups there are.
@@ -144,18 +144,18 @@
     }
 
     /// Forgets what was given to runners, and known of groups, that are gone.
-    pub(crate) fn forget(&mut self, scene: &Scene) {
-        self.notice_lives(scene.roster);
-        self.refusing.extend(scene.refusing.iter().map(|runner| (runner.clone(), scene.now)));
-        self.refusing.retain(|_, last| scene.now < *last + REFUSED);
-        let known = |runner: &id::Runner| scene.roster.recall(runner).is_some();
-        let groups = scene.plans.values().flat_map(|plan| &plan.groups);
+    pub(crate) fn forget(&mut self, snapshot: &Snapshot) {
+        self.notice_lives(snapshot.roster);
+        self.refusing.extend(snapshot.refusing.iter().map(|runner| (runner.clone(), snapshot.now)));
+        self.refusing.retain(|_, last| snapshot.now < *last + REFUSED);
+        let known = |runner: &id::Runner| snapshot.roster.recall(runner).is_some();
+        let groups = snapshot.plans.values().flat_map(|plan| &plan.groups);
         let names: HashSet<(&id::Group, Epoch)> = groups.map(|group| (&group.name, group.epoch)).collect();
         let planned = |group: &id::Group, epoch: Epoch| names.contains(&(group, epoch));
         let matters = |(runner, order): &(id::Runner, Order)| {
             known(runner) && order.group().is_none_or(|(group, epoch)| planned(group, epoch))
         };
-        let lately = |at: &Millis| scene.now < *at + REPEAT_TAKEN;
+        let lately = |at: &Millis| snapshot.now < *at + REPEAT_TAKEN;
         self.given.retain(|key, at| matters(key) || lately(at));
         self.first.retain(|key, _| matters(key));
         self.taken.retain(matters);
@@ -163,7 +163,7 @@
         self.staged.retain(|runner, _| known(runner));
         self.refused.retain(|(group, epoch)| planned(group, *epoch));
         self.halted.retain(|(group, epoch), _| planned(group, *epoch));
-        self.loads.forget(scene.now, scene.ceiling);
+        self.loads.forget(snapshot.now, snapshot.ceiling);
     }
 
     /// Whether no runner has come for a while.
--- a/crates/fleet/src/plan.rs
+++ b/crates/fleet/src/plan.rs
@@ -79,13 +79,13 @@
 
 /// Why a document is no plan, though it can be decoded.
 #[derive(Debug, Error, PartialEq, Eq)]
-pub enum Flaw {
+pub enum PlanError {
     /// A group has nobody in it.
     #[error("group {0} has no members")]
     Empty(id::Group),
     /// A runner is in two places.
     #[error("runner {0} is planned twice")]
-    Twice(id::Runner),
+    Duplicate(id::Runner),
     /// An epoch is beyond those given out.
     #[error("group {0} is of an epoch that was not given out")]
     Epoch(id::Group),
@@ -93,17 +93,17 @@
 
 impl Document {
     /// Whether this is a plan: each group has members, and each runner one place.
-    pub fn check(&self) -> Result<(), Flaw> {
+    pub fn check(&self) -> Result<(), PlanError> {
         let mut seen = HashSet::new();
         for group in &self.groups {
             if group.members.is_empty() {
-                return Err(Flaw::Empty(group.name.clone()));
+                return Err(PlanError::Empty(group.name.clone()));
             }
             if group.epoch > self.top {
-                return Err(Flaw::Epoch(group.name.clone()));
+                return Err(PlanError::Epoch(group.name.clone()));
             }
             if let Some(twice) = group.members.iter().find(|member| !seen.insert(*member)) {
-                return Err(Flaw::Twice(twice.clone()));
+                return Err(PlanError::Duplicate(twice.clone()));
             }
         }
         Ok(())
--- a/crates/fleet/src/preempt.rs
+++ b/crates/fleet/src/preempt.rs
@@ -12,16 +12,16 @@
 
 use crate::plan::{Group, State};
 use crate::reserve::Risk;
-use crate::scene::{Scene, Site, time_join};
-use crate::share::{count_alive, list_wanted};
+use crate::snapshot::{Draft, Snapshot, time_join};
+use crate::targets::{count_active, list_targets};
 
 /// Closes small groups whose members complete a large one, as long as the large model
 /// has the smaller part of what it is meant to have.
-pub(crate) fn preempt_groups(scene: &Scene, models: &[Model], risk: &Risk, sites: &mut [Site]) {
+pub(crate) fn preempt_groups(snapshot: &Snapshot, models: &[Model], risk: &Risk, drafts: &mut [Draft]) {
     let Some(large) = models.iter().max_by_key(|model| model.size) else { return };
-    let wanted = list_wanted(models, sites, risk);
-    let mut alive = count_alive(models, sites);
-    for at in 0..sites.len() {
+    let wanted = list_targets(models, drafts, risk);
+    let mut alive = count_active(models, drafts);
+    for at in 0..drafts.len() {
         let parts: Vec<(&Model, usize, f64)> = models
             .iter()
             .zip(&alive)
@@ -37,38 +37,38 @@
         }
         let is_lower = |model: &&Model| model.size < large.size && part(large, 0) < part(model, 1);
         let lower: Vec<&Model> = models.iter().filter(is_lower).collect();
-        if close_victims(scene, &mut sites[at], large, &lower) {
-            alive = count_alive(models, sites);
+        if close_victims(snapshot, &mut drafts[at], large, &lower) {
+            alive = count_active(models, drafts);
         }
     }
 }
 
 /// Closes groups of `lower` in a domain that lacks few runners for a group of `large`,
 /// if their members complete it. Returns whether it closed one.
-fn close_victims(scene: &Scene, site: &mut Site, large: &Model, lower: &[&Model]) -> bool {
-    let free = site.list_free().into_iter().filter(|runner| time_join(runner, large) < large.load).count();
-    let retired = site.plan.groups.iter().filter(|group| group.is_retired());
-    let coming: usize = retired.map(|group| count_holders(scene, group, large)).sum();
+fn close_victims(snapshot: &Snapshot, draft: &mut Draft, large: &Model, lower: &[&Model]) -> bool {
+    let free = draft.list_free().into_iter().filter(|runner| time_join(runner, large) < large.load).count();
+    let retired = draft.plan.groups.iter().filter(|group| group.is_retired());
+    let coming: usize = retired.map(|group| count_holders(snapshot, group, large)).sum();
     // Most of the group must be there: what is closed takes requests at present.
     if 2 * free < large.size || free + coming >= large.size {
         return false;
     }
     // Those of a group that is over are told to leave it and are free in a moment. Where they
     // complete the large one, no group is closed for it; where not, they do not change which is.
-    let released = site.list_released().filter(|runner| time_join(runner, large) < large.load).count();
+    let released = draft.list_released().filter(|runner| time_join(runner, large) < large.load).count();
     if free + coming + released >= large.size {
         return false;
     }
     let missing = large.size - free - coming;
-    let Some(victims) = find_victims(scene, site, large, lower, missing) else { return false };
+    let Some(victims) = find_victims(snapshot, draft, large, lower, missing) else { return false };
     for name in victims {
-        let Some(victim) = site.plan.groups.iter_mut().find(|group| group.name == name) else { continue };
+        let Some(victim) = draft.plan.groups.iter_mut().find(|group| group.name == name) else { continue };
         victim.state = State::Closing;
         let reason = format!(
             "retire {} of {}: {} lacks {missing} more runners",
             victim.name, victim.model, large.name
         );
-        site.reasons.push(reason);
+        draft.reasons.push(reason);
     }
     true
 }
@@ -77,16 +77,16 @@
 /// can be. None if all of them do not, or if as many runners would stop to serve as
 /// begin: a group closed for nothing is formed anew, and closed again.
 fn find_victims(
-    scene: &Scene,
-    site: &Site,
+    snapshot: &Snapshot,
+    draft: &Draft,
     large: &Model,
     lower: &[&Model],
     missing: usize,
 ) -> Option<Vec<id::Group>> {
-    let serving = site.plan.groups.iter().filter(|group| !group.is_retired());
+    let serving = draft.plan.groups.iter().filter(|group| !group.is_retired());
     let below = serving.filter(|group| lower.iter().any(|model| model.name == group.model));
     let mut rows: Vec<(usize, &Group)> =
-        below.map(|group| (count_holders(scene, group, large), group)).collect();
+        below.map(|group| (count_holders(snapshot, group, large), group)).collect();
     rows.sort_by_key(|(holders, _)| std::cmp::Reverse(*holders));
     let (mut found, mut closed, mut victims) = (0, 0, Vec::new());
     for (holders, group) in rows {
@@ -101,7 +101,8 @@
 }
 
 /// The members of a group that can join one of `model` without a load.
-fn count_holders(scene: &Scene, group: &Group, model: &Model) -> usize {
-    let holds = |id: &&id::Runner| scene.find(id).is_some_and(|runner| time_join(runner, model) < model.load);
+fn count_holders(snapshot: &Snapshot, group: &Group, model: &Model) -> usize {
+    let holds =
+        |id: &&id::Runner| snapshot.find(id).is_some_and(|runner| time_join(runner, model) < model.load);
     group.members.iter().filter(holds).count()
 }
--- a/crates/fleet/src/preload.rs
+++ b/crates/fleet/src/preload.rs
@@ -7,23 +7,23 @@
 //! another model.
 
 use crate::catalog::Model;
-use crate::desk::Desk;
+use crate::issuer::Issuer;
 use crate::order::Order;
 use crate::runner::Epoch;
-use crate::scene::{Site, name_solo};
+use crate::snapshot::{Draft, name_solo};
 
 /// Orders free runners that have never served to join their own groups.
 ///
 /// `top` is the highest epoch given out: whatever group a runner is planned for later
 /// has a higher one, so this order does no harm when it is carried out late.
-pub(crate) fn order_preloads(models: &[Model], sites: &[Site], top: Epoch, desk: &mut Desk) {
-    for runner in sites.iter().flat_map(Site::list_free) {
+pub(crate) fn order_preloads(models: &[Model], drafts: &[Draft], top: Epoch, issuer: &mut Issuer) {
+    for runner in drafts.iter().flat_map(Draft::list_free) {
         let fresh = runner.served.is_none() && runner.membership.is_none();
         let Some(model) = models.iter().find(|model| runner.staged.contains(&model.name)) else { continue };
-        let replaced = desk.last_staged(runner).is_some_and(|asked| *asked != model.name);
+        let replaced = issuer.last_staged(runner).is_some_and(|asked| *asked != model.name);
         if fresh && !replaced {
             let members = vec![runner.id.clone()];
-            desk.give(&runner.id, Order::Join(name_solo(&runner.id), top, model.name.clone(), members));
+            issuer.give(&runner.id, Order::Join(name_solo(&runner.id), top, model.name.clone(), members));
         }
     }
 }
--- a/crates/fleet/src/probe.rs
+++ b/crates/fleet/src/probe.rs
@@ -22,7 +22,7 @@
 
 /// What a question to a runner brought.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Reported {
+pub enum Observation {
     /// It answered, and works this many times slower than usual.
     Pace(f64),
     /// No answer came.
@@ -39,7 +39,7 @@
     /// The data hall it stands in.
     pub hall: id::Hall,
     /// What it said, to the last question of the round.
-    pub reported: Reported,
+    pub reported: Observation,
     /// In which life it answered, where it said so.
     pub life: Option<Life>,
     /// How many questions were put to it.
@@ -48,9 +48,9 @@
 
 /// What is known of a runner from its answers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Sign {
+pub enum Health {
     /// It answered lately.
-    Heard,
+    Responsive,
     /// It answered lately, and works slowly.
     Slow,
     /// It does not answer.
@@ -83,22 +83,22 @@
 
 impl Probes {
     /// What is known of a runner.
-    pub fn sign(&self, runner: &id::Runner) -> Sign {
+    pub fn health(&self, runner: &id::Runner) -> Health {
         match self.records.get(runner) {
             Some(record) if record.asked >= MISSES && !self.cut.contains(&record.hall) => {
                 match (record.misses >= MISSES, record.slow >= MISSES) {
-                    (true, _) => Sign::Silent,
-                    (false, true) => Sign::Slow,
-                    (false, false) => Sign::Heard,
+                    (true, _) => Health::Silent,
+                    (false, true) => Health::Slow,
+                    (false, false) => Health::Responsive,
                 }
             }
-            _ => Sign::Unknown,
+            _ => Health::Unknown,
         }
     }
 
     /// Whether a runner does not answer.
     pub fn is_silent(&self, runner: &id::Runner) -> bool {
-        self.sign(runner) == Sign::Silent
+        self.health(runner) == Health::Silent
     }
 
     /// Whether a runner is known to be no more: not cut off, and not running any request.
@@ -108,7 +108,7 @@
 
     /// Whether a runner works slowly.
     pub fn is_slow(&self, runner: &id::Runner) -> bool {
-        self.sign(runner) == Sign::Slow
+        self.health(runner) == Health::Slow
     }
 
     /// The runners that are slow.
@@ -135,15 +135,19 @@
             // What was seen of a former life says nothing of this one.
             let before = before.filter(|record| !is_later(answer.life, record.life));
             let (misses, slow) = before.map_or((0, 0), |record| (record.misses, record.slow));
-            let gone = before.is_some_and(|record| record.gone) || answer.reported == Reported::Gone;
+            let gone = before.is_some_and(|record| record.gone) || answer.reported == Observation::Gone;
             let record = Record {
                 hall: answer.hall.clone(),
-                misses: if matches!(answer.reported, Reported::Pace(_)) { 0 } else { misses + answer.asked },
+                misses: if matches!(answer.reported, Observation::Pace(_)) {
+                    0
+                } else {
+                    misses + answer.asked
+                },
                 asked: before.map_or(0, |record| record.asked) + answer.asked,
                 slow: match answer.reported {
-                    Reported::Pace(pace) if pace >= SLOW => slow + 1,
-                    Reported::Pace(_) => 0,
-                    Reported::Silent | Reported::Gone => slow,
+                    Observation::Pace(pace) if pace >= SLOW => slow + 1,
+                    Observation::Pace(_) => 0,
+                    Observation::Silent | Observation::Gone => slow,
                 },
                 gone,
                 life: answer.life.or(before.and_then(|record| record.life)),
@@ -163,7 +167,7 @@
     for answer in round {
         let (asked, missed) = halls.entry(&answer.hall).or_default();
         *asked += 1;
-        *missed += usize::from(answer.reported == Reported::Silent);
+        *missed += usize::from(answer.reported == Observation::Silent);
     }
     let cut = halls.into_iter().filter(|(_, (asked, missed))| *missed as f64 > CUT * *asked as f64);
     cut.map(|(hall, _)| hall.clone()).collect()
--- a/crates/fleet/src/scene.rs
+++ b/crates/fleet/src/snapshot.rs
@@ -7,13 +7,13 @@
 use crate::catalog::{Model, Service};
 use crate::occupancy::Counts;
 use crate::plan::{Document, Group};
-use crate::probe::{Probes, Sign};
+use crate::probe::{Health, Probes};
 use crate::roster::Roster;
 use crate::runner::{Phase, Runner, is_later};
 use crate::settings::Ceiling;
 
 /// What a step looks at.
-pub struct Scene<'a> {
+pub struct Snapshot<'a> {
     /// The service whose groups are decided.
     pub service: &'a Service,
     /// The runners.
@@ -39,10 +39,10 @@
     pub now: Millis,
 }
 
-impl<'a> Scene<'a> {
+impl<'a> Snapshot<'a> {
     /// Whether a runner can be a member of a group as things are.
     fn is_fit(&self, runner: &Runner) -> bool {
-        !runner.draining && !matches!(self.probes.sign(&runner.id), Sign::Silent | Sign::Slow)
+        !runner.draining && !matches!(self.probes.health(&runner.id), Health::Silent | Health::Slow)
     }
 
     /// Whether a member of a group has started again since the group was planned.
@@ -58,7 +58,7 @@
 }
 
 /// One fabric domain while it is decided.
-pub(crate) struct Site<'a> {
+pub(crate) struct Draft<'a> {
     pub(crate) id: id::Domain,
     pub(crate) plan: Document,
     /// The service's runners there that answer and are not about to leave, by id.
@@ -66,7 +66,7 @@
     pub(crate) reasons: Vec<String>,
 }
 
-impl<'a> Site<'a> {
+impl<'a> Draft<'a> {
     /// The runners that may join a new group now.
     pub(crate) fn list_free(&self) -> Vec<&'a Runner> {
         self.list_unplanned().filter(|runner| runner.membership.is_none() || is_solo(runner)).collect()
@@ -85,22 +85,22 @@
 }
 
 /// The fabric domains of the service, with the runners that can be members there.
-pub(crate) fn list_sites<'a>(scene: &Scene<'a>) -> Vec<Site<'a>> {
+pub(crate) fn list_drafts<'a>(snapshot: &Snapshot<'a>) -> Vec<Draft<'a>> {
     let mut runners: BTreeMap<&id::Domain, Vec<&Runner>> = BTreeMap::new();
-    for domain in scene.plans.keys() {
+    for domain in snapshot.plans.keys() {
         runners.entry(domain).or_default();
     }
-    for runner in scene.roster.iter().filter(|runner| runner.service == scene.service.id) {
-        if let Some(domain) = runner.domain.as_ref().filter(|domain| !scene.closed.contains(*domain)) {
-            runners.entry(domain).or_default().extend(scene.is_fit(runner).then_some(runner));
+    for runner in snapshot.roster.iter().filter(|runner| runner.service == snapshot.service.id) {
+        if let Some(domain) = runner.domain.as_ref().filter(|domain| !snapshot.closed.contains(*domain)) {
+            runners.entry(domain).or_default().extend(snapshot.is_fit(runner).then_some(runner));
         }
     }
-    let sites = runners.into_iter().map(|(domain, mut runners)| {
+    let drafts = runners.into_iter().map(|(domain, mut runners)| {
         runners.sort_by(|a, b| a.id.cmp(&b.id));
-        let plan = scene.plans.get(domain).cloned().unwrap_or_default();
-        Site { id: domain.clone(), plan, runners, reasons: Vec::new() }
+        let plan = snapshot.plans.get(domain).cloned().unwrap_or_default();
+        Draft { id: domain.clone(), plan, runners, reasons: Vec::new() }
     });
-    sites.collect()
+    drafts.collect()
 }
 
 /// How far a runner is in a group, if it is in it, and in the place that was planned.
--- a/crates/fleet/src/staging.rs
+++ b/crates/fleet/src/staging.rs
@@ -8,13 +8,13 @@
 use cottoncrank::id;
 
 use crate::catalog::{Engine, Model};
-use crate::desk::Desk;
+use crate::issuer::Issuer;
 use crate::loads::Purpose;
 use crate::order::Order;
 use crate::reserve::Risk;
 use crate::runner::Runner;
-use crate::scene::{Scene, Site, time_join};
-use crate::share::Lack;
+use crate::snapshot::{Draft, Snapshot, time_join};
+use crate::targets::Shortage;
 
 /// While callers are there, a model is put in reserve only where it spares at least this many
 /// runners from standing idle: each such load takes a place at the weight store that repairs need.
@@ -26,35 +26,36 @@
 /// their domain would miss most after a loss; and another model onto the hosts of all
 /// that have served one.
 pub(crate) fn order_staging(
-    scene: &Scene,
+    snapshot: &Snapshot,
     engine: &Engine,
     risk: &Risk,
-    lacking: &[Lack],
-    sites: &[Site],
-    desk: &mut Desk,
+    shortages: &[Shortage],
+    drafts: &[Draft],
+    issuer: &mut Issuer,
 ) {
     let models = &engine.models;
-    let mut stocks: Vec<Stock> = sites.iter().map(|site| Stock::count(scene, models, site, desk)).collect();
+    let mut stocks: Vec<Stock> =
+        drafts.iter().map(|draft| Stock::count(snapshot, models, draft, issuer)).collect();
     let Some(largest) = models.iter().max_by_key(|model| model.size) else { return };
-    for (site, stock) in sites.iter().zip(&stocks) {
-        stage_missing(scene, largest, site, count_missing(largest, stock), desk);
+    for (draft, stock) in drafts.iter().zip(&stocks) {
+        stage_missing(snapshot, largest, draft, count_missing(largest, stock), issuer);
     }
-    for lack in lacking {
-        stage_sets(lack, &mut stocks, desk);
+    for shortage in shortages {
+        stage_sets(shortage, &mut stocks, issuer);
     }
-    for (site, stock) in sites.iter().zip(&mut stocks) {
-        stage_spares(models, risk, lacking, site, stock, desk);
+    for (draft, stock) in drafts.iter().zip(&mut stocks) {
+        stage_spares(models, risk, shortages, draft, stock, issuer);
     }
     for stock in &mut stocks {
         while let Some(runner) = stock.find_bare() {
             let Some(model) = find_for_bare(models, risk, stock) else { return };
-            if !stage(model, runner, stock, desk, Purpose::Reserve) {
+            if !stage(model, runner, stock, issuer, Purpose::Reserve) {
                 return;
             }
         }
     }
-    let kept_free = if desk.serving { risk.count_kept_free(engine) } else { 0 };
-    stage_seconds(scene, models, risk, sites, kept_free, desk);
+    let kept_free = if issuer.serving { risk.count_kept_free(engine) } else { 0 };
+    stage_seconds(snapshot, models, risk, drafts, kept_free, issuer);
 }
 
 /// What bare runners of a domain get: the smallest model of which they make a whole set
@@ -78,22 +79,22 @@
 }
 
 /// Members of groups that serve, and those left of groups given up.
-fn list_members<'a>(scene: &Scene<'a>, site: &Site<'a>) -> Vec<&'a Runner> {
-    let members = site.plan.groups.iter().flat_map(|group| &group.members);
-    members.filter_map(|id| scene.find(id)).collect()
+fn list_members<'a>(snapshot: &Snapshot<'a>, draft: &Draft<'a>) -> Vec<&'a Runner> {
+    let members = draft.plan.groups.iter().flat_map(|group| &group.members);
+    members.filter_map(|id| snapshot.find(id)).collect()
 }
 
 /// Orders the largest model onto the hosts of up to `wanted` members of small
 /// groups. They serve on; the copy of their own model on their hosts gives way to it.
-fn stage_missing(scene: &Scene, largest: &Model, site: &Site, wanted: usize, desk: &mut Desk) {
-    let members = list_members(scene, site).into_iter();
+fn stage_missing(snapshot: &Snapshot, largest: &Model, draft: &Draft, wanted: usize, issuer: &mut Issuer) {
+    let members = list_members(snapshot, draft).into_iter();
     let others = members.filter(|runner| runner.served.is_some() && !runner.has_served(&largest.name));
     for runner in others.take(wanted) {
         let holds = time_join(runner, largest) < largest.load;
-        if holds || desk.last_staged(runner) == Some(&largest.name) {
+        if holds || issuer.last_staged(runner) == Some(&largest.name) {
             continue;
         }
-        if !order_load(largest, runner, desk, Purpose::Reserve) {
+        if !order_load(largest, runner, issuer, Purpose::Reserve) {
             return;
         }
     }
@@ -102,22 +103,23 @@
 /// Orders another model onto the hosts of runners that have served one, where it is
 /// missed most first. `kept_free` loads are left for whatever is lost next.
 fn stage_seconds(
-    scene: &Scene,
+    snapshot: &Snapshot,
     models: &[Model],
     risk: &Risk,
-    sites: &[Site],
+    drafts: &[Draft],
     kept_free: usize,
-    desk: &mut Desk,
+    issuer: &mut Issuer,
 ) {
-    if desk.reserves <= kept_free {
+    if issuer.reserves <= kept_free {
         return;
     }
     let mut wanted: Vec<(f64, &Runner, &Model)> = Vec::new();
-    for site in sites {
-        let runners: Vec<&Runner> = list_members(scene, site).into_iter().chain(site.list_free()).collect();
+    for draft in drafts {
+        let runners: Vec<&Runner> =
+            list_members(snapshot, draft).into_iter().chain(draft.list_free()).collect();
         let holds = |runner: &Runner, model: &Model| {
             let staged = runner.staged.contains(&model.name);
-            let asked = desk.last_staged(runner) == Some(&model.name);
+            let asked = issuer.last_staged(runner) == Some(&model.name);
             (staged || asked) && !runner.has_served(&model.name)
         };
         let count = |model: &Model| runners.iter().filter(|runner| holds(runner, model)).count();
@@ -135,8 +137,8 @@
     }
     wanted.sort_by(|a, b| b.0.total_cmp(&a.0));
     for (worth, runner, model) in wanted {
-        let idle = desk.serving && worth < SPARED_LEAST;
-        if idle || desk.reserves <= kept_free || !order_load(model, runner, desk, Purpose::Reserve) {
+        let idle = issuer.serving && worth < SPARED_LEAST;
+        if idle || issuer.reserves <= kept_free || !order_load(model, runner, issuer, Purpose::Reserve) {
             return;
         }
     }
@@ -148,9 +150,9 @@
     if 2 * held >= largest.size { largest.size.saturating_sub(held) } else { 0 }
 }
 
-fn stage_sets(lack: &Lack, stocks: &mut [Stock], desk: &mut Desk) {
-    let model = lack.model;
-    let mut missing = lack.groups;
+fn stage_sets(shortage: &Shortage, stocks: &mut [Stock], issuer: &mut Issuer) {
+    let model = shortage.model;
+    let mut missing = shortage.groups;
     let mut order: Vec<usize> = (0..stocks.len()).collect();
     order.sort_by_key(|at| model.size.saturating_sub(stocks[*at].held(model)));
     for at in order {
@@ -162,7 +164,7 @@
         }
         missing -= 1;
         for runner in candidates.into_iter().take(short) {
-            if !stage(model, runner, stock, desk, Purpose::Repair) {
+            if !stage(model, runner, stock, issuer, Purpose::Repair) {
                 return;
             }
         }
@@ -173,46 +175,46 @@
 fn stage_spares(
     models: &[Model],
     risk: &Risk,
-    lacking: &[Lack],
-    site: &Site,
+    shortages: &[Shortage],
+    draft: &Draft,
     stock: &mut Stock,
-    desk: &mut Desk,
+    issuer: &mut Issuer,
 ) {
     let mut by_size: Vec<&Model> = models.iter().collect();
     by_size.sort_by_key(|model| std::cmp::Reverse(model.size));
     for model in by_size {
-        let served = site.plan.groups.iter().any(|group| group.model == model.name);
+        let served = draft.plan.groups.iter().any(|group| group.model == model.name);
         if !served || stock.held(model) >= risk.count_spares(model) {
             continue;
         }
-        let spare = stock.find_bare().or_else(|| stock.find_surplus(model, models, lacking));
+        let spare = stock.find_bare().or_else(|| stock.find_surplus(model, models, shortages));
         if let Some(runner) = spare {
-            stage(model, runner, stock, desk, Purpose::Reserve);
+            stage(model, runner, stock, issuer, Purpose::Reserve);
         }
     }
 }
 
 /// Gives the order, if a load may begin now.
-fn stage(model: &Model, runner: &Runner, stock: &mut Stock, desk: &mut Desk, purpose: Purpose) -> bool {
-    let ordered = order_load(model, runner, desk, purpose);
+fn stage(model: &Model, runner: &Runner, stock: &mut Stock, issuer: &mut Issuer, purpose: Purpose) -> bool {
+    let ordered = order_load(model, runner, issuer, purpose);
     if ordered {
         stock.note(runner, model);
     }
     ordered
 }
 
-fn order_load(model: &Model, runner: &Runner, desk: &mut Desk, purpose: Purpose) -> bool {
+fn order_load(model: &Model, runner: &Runner, issuer: &mut Issuer, purpose: Purpose) -> bool {
     let left = match purpose {
-        Purpose::Repair => desk.repairs,
-        Purpose::Reserve => desk.reserves,
+        Purpose::Repair => issuer.repairs,
+        Purpose::Reserve => issuer.reserves,
     };
     if left == 0 {
         return false;
     }
-    desk.repairs = desk.repairs.saturating_sub(1);
-    desk.reserves = desk.reserves.saturating_sub(1);
-    desk.memory.note_staging(runner, model, desk.now, desk.serving, purpose);
-    desk.give(&runner.id, Order::Stage(model.name.clone()));
+    issuer.repairs = issuer.repairs.saturating_sub(1);
+    issuer.reserves = issuer.reserves.saturating_sub(1);
+    issuer.memory.note_staging(runner, model, issuer.now, issuer.serving, purpose);
+    issuer.give(&runner.id, Order::Stage(model.name.clone()));
     true
 }
 
@@ -239,9 +241,9 @@
 }
 
 impl<'a> Stock<'a> {
-    fn count(scene: &Scene<'a>, models: &[Model], site: &Site<'a>, desk: &Desk) -> Stock<'a> {
-        let rows = site.list_free().into_iter().map(|runner| {
-            let asked = models.iter().find(|model| desk.last_staged(runner) == Some(&model.name));
+    fn count(snapshot: &Snapshot<'a>, models: &[Model], draft: &Draft<'a>, issuer: &Issuer) -> Stock<'a> {
+        let rows = draft.list_free().into_iter().map(|runner| {
+            let asked = models.iter().find(|model| issuer.last_staged(runner) == Some(&model.name));
             let staging = asked.is_some_and(|model| time_join(runner, model) >= model.load);
             // What is on the host gives way to what is asked for.
             let holds = |model: &&Model| match asked {
@@ -252,9 +254,9 @@
             Row { runner, held, staging }
         });
         let rows = rows.collect();
-        let given_up = site.plan.groups.iter().filter(|group| group.is_retired());
+        let given_up = draft.plan.groups.iter().filter(|group| group.is_retired());
         let returning = given_up.flat_map(|group| {
-            let living = group.members.iter().filter(|id| scene.find(id).is_some());
+            let living = group.members.iter().filter(|id| snapshot.find(id).is_some());
             living.map(|_| group.model.clone())
         });
         Stock { rows, returning: returning.collect() }
@@ -276,8 +278,8 @@
 
     /// A runner of another model that has more than its spare ones, and lacks no
     /// groups: what is left of those waits for what completes it.
-    fn find_surplus(&self, model: &Model, models: &[Model], lacking: &[Lack]) -> Option<&'a Runner> {
-        let lacks = |other: &Model| lacking.iter().any(|lack| lack.model.name == other.name);
+    fn find_surplus(&self, model: &Model, models: &[Model], shortages: &[Shortage]) -> Option<&'a Runner> {
+        let lacks = |other: &Model| shortages.iter().any(|shortage| shortage.model.name == other.name);
         let mut others = models.iter().filter(|other| other.name != model.name && !lacks(other));
         let rich = others.find(|other| self.held(other) > 1)?;
         let mut rows = self.rows.iter().filter(|row| row.holds(rich) && !row.holds(model));
--- a/crates/fleet/src/halt.rs
+++ b/crates/fleet/src/stall.rs
@@ -14,9 +14,9 @@
 
 /// When this node first read of groups that they stand still.
 #[derive(Clone, Debug, Default)]
-pub struct Halts(HashMap<(id::Group, Epoch), Millis>);
+pub struct Stalls(HashMap<(id::Group, Epoch), Millis>);
 
-impl Halts {
+impl Stalls {
     /// The plans are these at `now`.
     pub fn note(&mut self, plans: &Plans, now: Millis) {
         let groups = plans.values().flat_map(|plan| &plan.groups).filter(|group| group.still);
--- a/crates/fleet/src/share.rs
+++ b/crates/fleet/src/targets.rs
@@ -2,7 +2,7 @@
 
 use crate::catalog::Model;
 use crate::reserve::Risk;
-use crate::scene::Site;
+use crate::snapshot::Draft;
 
 /// One more group is meant to be where a model's share falls short of it by no more
 /// than the rest of this: a fleet that loses a few runners gives none up, and one with
@@ -11,7 +11,7 @@
 
 /// A model that has fewer groups than it is meant to have.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Lack<'a> {
+pub(crate) struct Shortage<'a> {
     pub(crate) model: &'a Model,
     /// How many groups are missing.
     pub(crate) groups: usize,
@@ -19,11 +19,11 @@
 
 /// How many groups of each model there are meant to be. The smallest model gets what
 /// the others leave beside the spare runners, and its own share at the least.
-pub(crate) fn list_wanted(models: &[Model], sites: &[Site], risk: &Risk) -> Vec<f64> {
+pub(crate) fn list_targets(models: &[Model], drafts: &[Draft], risk: &Risk) -> Vec<f64> {
     let spares: usize = models.iter().map(|model| risk.count_spares(model)).sum();
-    let placeable: usize = sites.iter().map(|site| site.runners.len().saturating_sub(spares)).sum();
-    let count_beside = |site: &Site| site.runners.len().saturating_sub(models.len());
-    let beside_spares: usize = sites.iter().map(count_beside).sum();
+    let placeable: usize = drafts.iter().map(|draft| draft.runners.len().saturating_sub(spares)).sum();
+    let count_beside = |draft: &Draft| draft.runners.len().saturating_sub(models.len());
+    let beside_spares: usize = drafts.iter().map(count_beside).sum();
     let mut left = placeable;
     let mut wanted = vec![1.0; models.len()];
     let mut by_size: Vec<usize> = (0..models.len()).collect();
@@ -43,9 +43,9 @@
 }
 
 /// How many groups of each model there are, as planned and not given up.
-pub(crate) fn count_alive(models: &[Model], sites: &[Site]) -> Vec<usize> {
+pub(crate) fn count_active(models: &[Model], drafts: &[Draft]) -> Vec<usize> {
     let count = |model: &Model| {
-        let groups = sites.iter().flat_map(|site| &site.plan.groups);
+        let groups = drafts.iter().flat_map(|draft| &draft.plan.groups);
         groups.filter(|group| !group.is_retired() && group.model == model.name).count()
     };
     models.iter().map(count).collect()
@@ -53,16 +53,16 @@
 
 /// The models of which there are fewer groups than there are meant to be, that
 /// which has the smallest part of them first.
-pub(crate) fn list_lacking<'a>(models: &'a [Model], sites: &[Site], risk: &Risk) -> Vec<Lack<'a>> {
-    let wanted = list_wanted(models, sites, risk);
-    let alive = count_alive(models, sites);
-    let mut rows: Vec<(f64, Lack)> = Vec::new();
+pub(crate) fn list_shortages<'a>(models: &'a [Model], drafts: &[Draft], risk: &Risk) -> Vec<Shortage<'a>> {
+    let wanted = list_targets(models, drafts, risk);
+    let alive = count_active(models, drafts);
+    let mut rows: Vec<(f64, Shortage)> = Vec::new();
     for ((model, alive), wanted) in models.iter().zip(alive).zip(wanted) {
         let part = alive as f64 / wanted;
         if part < 1.0 {
-            rows.push((part, Lack { model, groups: wanted as usize - alive }));
+            rows.push((part, Shortage { model, groups: wanted as usize - alive }));
         }
     }
     rows.sort_by(|a, b| a.0.total_cmp(&b.0));
-    rows.into_iter().map(|(_, lack)| lack).collect()
+    rows.into_iter().map(|(_, shortage)| shortage).collect()
 }
--- a/crates/fleet/tests/belief.rs
+++ b/crates/fleet/tests/belief.rs
@@ -8,7 +8,7 @@
 use cottoncrank_fleet::freshness::{DEAF, Freshness, MARGIN};
 use cottoncrank_fleet::limit::Limit;
 use cottoncrank_fleet::plan::{Document, Group, Plans, State};
-use cottoncrank_fleet::probe::{Answer, Probes, Reported, SLOW, Sign};
+use cottoncrank_fleet::probe::{Answer, Health, Observation, Probes, SLOW};
 use cottoncrank_fleet::roster::{RETURN, Roster};
 use cottoncrank_fleet::runner::{Epoch, Membership, Phase, Runner};
 
@@ -140,29 +140,29 @@
     let answer = |number: usize| Answer {
         runner: format!("{hall}-{number}").parse().unwrap(),
         hall: hall.parse().unwrap(),
-        reported: if silent.contains(&number) { Reported::Silent } else { Reported::Pace(1.0) },
+        reported: if silent.contains(&number) { Observation::Silent } else { Observation::Pace(1.0) },
         life: None,
         asked: 1,
     };
     (0..of).map(answer).collect()
 }
 
-fn sign(probes: &Probes, name: &str) -> Sign {
-    probes.sign(&name.parse().unwrap())
+fn sign(probes: &Probes, name: &str) -> Health {
+    probes.health(&name.parse().unwrap())
 }
 
 #[test]
 fn a_runner_is_silent_after_two_misses_and_until_it_answers() {
     let mut probes = Probes::default();
     assert!(probes.take(&answers(&[3], 10, "a")).is_empty());
-    assert_eq!(sign(&probes, "a-3"), Sign::Unknown);
+    assert_eq!(sign(&probes, "a-3"), Health::Unknown);
     assert_eq!(probes.take(&answers(&[3], 10, "a")).len(), 1);
-    assert_eq!((sign(&probes, "a-3"), sign(&probes, "a-4")), (Sign::Silent, Sign::Heard));
+    assert_eq!((sign(&probes, "a-3"), sign(&probes, "a-4")), (Health::Silent, Health::Responsive));
     assert!(probes.take(&answers(&[3], 10, "a")).is_empty(), "it is told once");
     probes.take(&answers(&[], 10, "a"));
-    assert_eq!(sign(&probes, "a-3"), Sign::Heard);
+    assert_eq!(sign(&probes, "a-3"), Health::Responsive);
     probes.take(&answers(&[], 3, "a"));
-    assert_eq!(sign(&probes, "a-3"), Sign::Unknown, "it was not asked any more");
+    assert_eq!(sign(&probes, "a-3"), Health::Unknown, "it was not asked any more");
 }
 
 #[test]
@@ -173,20 +173,20 @@
     round[1].asked = 2;
     let fresh = probes.take(&round);
     assert_eq!(fresh, ["a-1".parse().unwrap()]);
-    assert_eq!(sign(&probes, "a-1"), Sign::Silent);
-    assert_eq!(sign(&probes, "a-0"), Sign::Heard);
+    assert_eq!(sign(&probes, "a-1"), Health::Silent);
+    assert_eq!(sign(&probes, "a-0"), Health::Responsive);
 }
 
 #[test]
 fn a_runner_is_slow_after_two_slow_answers() {
     let mut probes = Probes::default();
-    let slow = |pace: f64| Answer { reported: Reported::Pace(pace), ..answers(&[], 1, "a").remove(0) };
+    let slow = |pace: f64| Answer { reported: Observation::Pace(pace), ..answers(&[], 1, "a").remove(0) };
     probes.take(&[slow(SLOW)]);
     probes.take(&[slow(SLOW)]);
-    assert_eq!(sign(&probes, "a-0"), Sign::Slow);
+    assert_eq!(sign(&probes, "a-0"), Health::Slow);
     assert_eq!(probes.list_slow().len(), 1);
     probes.take(&[slow(1.0)]);
-    assert_eq!(sign(&probes, "a-0"), Sign::Heard);
+    assert_eq!(sign(&probes, "a-0"), Health::Responsive);
 }
 
 #[test]
@@ -196,12 +196,12 @@
     for _ in 0..3 {
         assert!(probes.take(&answers(&all[..8], 10, "a")).is_empty());
     }
-    assert_eq!(sign(&probes, "a-0"), Sign::Unknown);
+    assert_eq!(sign(&probes, "a-0"), Health::Unknown);
     assert!(probes.is_pending(&"a-9".parse().unwrap()));
     for _ in 0..3 {
         probes.take(&answers(&all[..5], 10, "a"));
     }
-    assert_eq!((sign(&probes, "a-0"), sign(&probes, "a-5")), (Sign::Silent, Sign::Heard));
+    assert_eq!((sign(&probes, "a-0"), sign(&probes, "a-5")), (Health::Silent, Health::Responsive));
 }
 
 #[test]
--- a/crates/fleet/tests/census.rs
+++ b/crates/fleet/tests/census.rs
@@ -9,8 +9,8 @@
 use cottoncrank_fleet::probe::Probes;
 use cottoncrank_fleet::roster::Roster;
 use cottoncrank_fleet::runner::{Epoch, Membership, Phase, Runner};
-use cottoncrank_fleet::scene::Scene;
 use cottoncrank_fleet::settings::Ceiling;
+use cottoncrank_fleet::snapshot::Snapshot;
 
 fn engine() -> Engine {
     let (load, warm) = (Millis(12_000), Millis(1100));
@@ -57,7 +57,7 @@
 
 fn count(roster: &Roster, plans: &Plans) -> Census {
     let service = Service { id: "llm".parse().unwrap(), engine: Some(engine()) };
-    let scene = Scene {
+    let scene = Snapshot {
         service: &service,
         roster,
         plans,
--- a/crates/fleet/tests/demand.rs
+++ b/crates/fleet/tests/demand.rs
@@ -93,9 +93,9 @@
         let used = [(name("large"), 0.1), (name("small"), 0.8)];
         demand.note(used, Millis(1_000_000 + 250 * at));
     }
-    let parts = demand.list_parts(&models());
+    let parts = demand.list_shares(&models());
     assert_eq!(parts[0].to_string(), "large gets 0.25 of the runners, published 0.50, slots in use 0.10");
-    assert!(parts[0].differs(&Demand::default().list_parts(&models())[0]));
+    assert!(parts[0].differs(&Demand::default().list_shares(&models())[0]));
 }
 
 #[test]
--- a/crates/fleet/tests/instant/mod.rs
+++ b/crates/fleet/tests/instant/mod.rs
@@ -11,11 +11,11 @@
 use cottoncrank_fleet::occupancy::Counts;
 use cottoncrank_fleet::order::Order;
 use cottoncrank_fleet::plan::{Group, Plans};
-use cottoncrank_fleet::probe::{Answer, Probes, Reported};
+use cottoncrank_fleet::probe::{Answer, Observation, Probes};
 use cottoncrank_fleet::roster::Roster;
 use cottoncrank_fleet::runner::{Life, Membership, Phase, Runner};
-use cottoncrank_fleet::scene::Scene;
 use cottoncrank_fleet::settings::Ceiling;
+use cottoncrank_fleet::snapshot::Snapshot;
 
 /// After this long a group that stands still is broken.
 pub const STALL: Millis = Millis(6000);
@@ -115,10 +115,10 @@
                 silent.contains(runner) || self.dead.contains(runner),
                 self.slow.contains(runner),
             ) {
-                _ if self.reborn.contains(runner) => Reported::Gone,
-                (true, _) => Reported::Silent,
-                (false, true) => Reported::Pace(12.0),
-                (false, false) => Reported::Pace(1.0),
+                _ if self.reborn.contains(runner) => Observation::Gone,
+                (true, _) => Observation::Silent,
+                (false, true) => Observation::Pace(12.0),
+                (false, false) => Observation::Pace(1.0),
             },
             life: self.told.get(runner).copied(),
             asked: 1,
@@ -134,7 +134,7 @@
     }
 
     pub fn step(&mut self) -> Step {
-        let scene = Scene {
+        let scene = Snapshot {
             service: &self.service,
             roster: &self.roster,
             plans: &self.plans,
--- a/crates/fleet/tests/lives.rs
+++ b/crates/fleet/tests/lives.rs
@@ -4,13 +4,13 @@
 mod instant;
 
 use cottoncrank::{Millis, id};
-use cottoncrank_fleet::halt::Halts;
 use cottoncrank_fleet::memory::Memory;
 use cottoncrank_fleet::order::{Order, REPEAT};
 use cottoncrank_fleet::plan::Group;
-use cottoncrank_fleet::probe::{Probes, Sign};
+use cottoncrank_fleet::probe::{Health, Probes};
 use cottoncrank_fleet::roster::{Notice, Roster};
 use cottoncrank_fleet::runner::{Life, Phase, Runner};
+use cottoncrank_fleet::stall::Stalls;
 use instant::{FIRST, World, at_rest, runner};
 
 /// How a new life becomes known.
@@ -237,7 +237,7 @@
             let group = world.find("large");
             // Nobody decides while the runner starts again.
             restart(&mut world, &group.members[rank]);
-            world.memory = Memory::resume(&Halts::default());
+            world.memory = Memory::resume(&Stalls::default());
             world.probes = Probes::default();
             world.probe(&[]);
             world.run(1);
@@ -286,10 +286,10 @@
     let member = world.find("large").members[1].clone();
     world.slow.insert(member.clone());
     world.probe(&[]);
-    assert_eq!(world.probes.sign(&member), Sign::Slow);
+    assert_eq!(world.probes.health(&member), Health::Slow);
     world.slow.clear();
     world.restart_unwritten(&member);
-    assert_eq!(world.probes.sign(&member), Sign::Heard);
+    assert_eq!(world.probes.health(&member), Health::Responsive);
 }
 
 #[test]
--- a/crates/fleet/tests/loss.rs
+++ b/crates/fleet/tests/loss.rs
@@ -6,7 +6,6 @@
 
 use cottoncrank::{Millis, id};
 use cottoncrank_fleet::decide::Step;
-use cottoncrank_fleet::halt::Halts;
 use cottoncrank_fleet::loss::STALL_MARGIN;
 use cottoncrank_fleet::memory::Memory;
 use cottoncrank_fleet::order::{Order, REPEAT};
@@ -14,6 +13,7 @@
 use cottoncrank_fleet::plan::Group;
 use cottoncrank_fleet::probe::Probes;
 use cottoncrank_fleet::runner::{Membership, Phase};
+use cottoncrank_fleet::stall::Stalls;
 use instant::{STALL, World, at_rest, runner};
 
 #[test]
@@ -111,7 +111,7 @@
     let group = world.find("large");
     world.crash(&group.members[0]);
     world.run(2);
-    let mut halts = Halts::default();
+    let mut halts = Stalls::default();
     halts.note(&world.plans, world.now);
     let read = world.now;
     // One decider after the other is stopped, each well before the group must have broken.
--- a/crates/fleet/tests/world/mod.rs
+++ b/crates/fleet/tests/world/mod.rs
@@ -8,16 +8,16 @@
 use cottoncrank::{Millis, id};
 use cottoncrank_fleet::catalog::{Engine, Model, Service, Speed};
 use cottoncrank_fleet::decide::{Step, step};
-use cottoncrank_fleet::halt::Halts;
 use cottoncrank_fleet::memory::Memory;
 use cottoncrank_fleet::occupancy::Counts;
 use cottoncrank_fleet::order::Order;
 use cottoncrank_fleet::plan::Plans;
-use cottoncrank_fleet::probe::{Answer, Probes, Reported};
+use cottoncrank_fleet::probe::{Answer, Observation, Probes};
 use cottoncrank_fleet::roster::Roster;
 use cottoncrank_fleet::runner::{Epoch, Life, Membership, Phase, Runner};
-use cottoncrank_fleet::scene::Scene;
 use cottoncrank_fleet::settings::Ceiling;
+use cottoncrank_fleet::snapshot::Snapshot;
+use cottoncrank_fleet::stall::Stalls;
 use rand::rngs::SmallRng;
 use rand::seq::IteratorRandom;
 use rand::{Rng, SeedableRng};
@@ -81,7 +81,7 @@
     pub plans: Plans,
     pub memory: Memory,
     /// What the other nodes have read of groups that stand still.
-    halts: Halts,
+    halts: Stalls,
     roster: Roster,
     probes: Probes,
     actors: BTreeMap<id::Runner, Actor>,
@@ -130,7 +130,7 @@
             serving: false,
             plans: Plans::new(),
             memory: Memory::default(),
-            halts: Halts::default(),
+            halts: Stalls::default(),
             roster: Roster::default(),
             probes: Probes::default(),
             actors: BTreeMap::new(),
@@ -411,7 +411,7 @@
             .map(|id| Answer {
                 runner: id.clone(),
                 hall: self.actors[id].entry.hall.clone(),
-                reported: if self.actors[id].alive { Reported::Pace(1.0) } else { Reported::Silent },
+                reported: if self.actors[id].alive { Observation::Pace(1.0) } else { Observation::Silent },
                 life: self.actors[id].entry.life.filter(|_| self.actors[id].alive),
                 asked: if self.actors[id].alive { 1 } else { 2 },
             })
@@ -461,7 +461,7 @@
     /// What the decider would do now.
     pub fn look(&mut self) -> Step {
         let in_flight = self.spread_requests();
-        let scene = Scene {
+        let scene = Snapshot {
             service: &self.service,
             roster: &self.roster,
             plans: &self.plans,
--- a/crates/node/src/crash.rs
+++ b/crates/node/src/crash.rs
@@ -7,7 +7,7 @@
 use cottoncrank::{Millis, id};
 use cottoncrank_fleet::breaks::Break;
 use cottoncrank_fleet::evidence::Row;
-use cottoncrank_fleet::probe::Reported;
+use cottoncrank_fleet::probe::Observation;
 use cottoncrank_fleet::runner::is_later;
 use cottoncrank_fleet::suspects::Origin;
 use cottoncrank_platform::order;
@@ -183,9 +183,9 @@
     }
     let probed = order::probe(&node.client, pick.address, &pick.id, ANSWER).await;
     match probed.reported {
-        Reported::Gone => Finding::Ended,
-        Reported::Pace(_) if is_later(probed.life, pick.life) => Finding::Ended,
-        Reported::Pace(_) => Finding::Sound,
-        Reported::Silent => Finding::Unknown,
+        Observation::Gone => Finding::Ended,
+        Observation::Pace(_) if is_later(probed.life, pick.life) => Finding::Ended,
+        Observation::Pace(_) => Finding::Sound,
+        Observation::Silent => Finding::Unknown,
     }
 }
--- a/crates/node/src/decider.rs
+++ b/crates/node/src/decider.rs
@@ -13,13 +13,13 @@
 use cottoncrank_fleet::catalog::Service;
 use cottoncrank_fleet::census::{self, Census};
 use cottoncrank_fleet::decide::{Step, step};
-use cottoncrank_fleet::demand::Part;
+use cottoncrank_fleet::demand::Share;
 use cottoncrank_fleet::memory::Memory;
 use cottoncrank_fleet::order::Order;
 use cottoncrank_fleet::plan::Document;
 use cottoncrank_fleet::position::{Era, Position};
 use cottoncrank_fleet::probe::Probes;
-use cottoncrank_fleet::scene::Scene;
+use cottoncrank_fleet::snapshot::Snapshot;
 use cottoncrank_net::client::{Client, Traffic};
 use cottoncrank_platform::item::Item;
 use cottoncrank_platform::order::{self, Reply};
@@ -113,7 +113,7 @@
     /// What was last logged of each service, and when.
     census: HashMap<id::Service, (Census, Millis)>,
     /// The parts of the runners that were last logged of each service.
-    parts: HashMap<id::Service, Vec<Part>>,
+    parts: HashMap<id::Service, Vec<Share>>,
 }
 
 /// Stands for the lease whenever it is free, and decides while holding it.
@@ -340,7 +340,7 @@
             let (step, census) = {
                 let roster = self.node.roster.lock();
                 let probes = self.probes.lock();
-                let scene = Scene {
+                let scene = Snapshot {
                     service,
                     roster: &roster,
                     plans: &documents,
@@ -376,7 +376,7 @@
 
     /// Says which part of the runners each model is to have, when that has changed.
     fn log_parts(&mut self, service: &Service) {
-        let parts = self.memory.lock().list_parts(service);
+        let parts = self.memory.lock().list_shares(service);
         let told = self.parts.entry(service.id.clone()).or_default();
         let same =
             told.len() == parts.len() && !parts.iter().zip(&*told).any(|(part, told)| part.differs(told));
--- a/crates/node/src/prober.rs
+++ b/crates/node/src/prober.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use cottoncrank::{Millis, id};
-use cottoncrank_fleet::probe::{Answer, Probes, Reported};
+use cottoncrank_fleet::probe::{Answer, Observation, Probes};
 use cottoncrank_fleet::runner::Runner;
 use cottoncrank_net::client::Client;
 use cottoncrank_platform::order::{self, Probed};
@@ -72,7 +72,7 @@
 async fn ask_member(client: Client, runner: Runner, silent: bool) -> (Answer, bool) {
     let mut asked = 1;
     let mut probed = order::probe(&client, runner.address, &runner.id, PROBE).await;
-    if probed.reported == Reported::Silent && !silent {
+    if probed.reported == Observation::Silent && !silent {
         asked += 1;
         probed = order::probe(&client, runner.address, &runner.id, PROBE).await;
     }
--- a/crates/node/src/state.rs
+++ b/crates/node/src/state.rs
@@ -16,7 +16,6 @@
 use cottoncrank_fleet::dispatch::{Dispatcher, Sample};
 use cottoncrank_fleet::freshness::Freshness;
 use cottoncrank_fleet::gossip::Book;
-use cottoncrank_fleet::halt::Halts;
 use cottoncrank_fleet::limit::Limit;
 use cottoncrank_fleet::occupancy::{self, Counts, Sum, View};
 use cottoncrank_fleet::plan::Plans;
@@ -28,6 +27,7 @@
 use cottoncrank_fleet::runner::{Epoch, Life, Runner};
 use cottoncrank_fleet::said::Said;
 use cottoncrank_fleet::settings::Settings;
+use cottoncrank_fleet::stall::Stalls;
 use cottoncrank_fleet::suspects::{Origin, Table};
 use cottoncrank_fleet::trials::{Trials, Usual};
 use cottoncrank_net::client::{Client, Traffic};
@@ -84,7 +84,7 @@
     /// The plans of the groups, as the store tells.
     pub plans: Mutex<Plans>,
     /// Since when groups stand still, as far as this node has read it.
-    pub halts: Mutex<Halts>,
+    pub halts: Mutex<Stalls>,
     /// Rises whenever a plan changes.
     pub plans_changed: watch::Sender<u64>,
     /// Items that could not be read, as far as the log tells of them.
--- a/crates/node/tests/fleet.rs
+++ b/crates/node/tests/fleet.rs
@@ -9,7 +9,7 @@
 use cottoncrank_fleet::freshness::Freshness;
 use cottoncrank_fleet::order::Order;
 use cottoncrank_fleet::position::{Era, Position};
-use cottoncrank_fleet::probe::Reported;
+use cottoncrank_fleet::probe::Observation;
 use cottoncrank_fleet::runner::Epoch;
 use cottoncrank_net::client::{CallError, Client, Traffic};
 use cottoncrank_node::peer::{self, Ask, AskError};
@@ -303,11 +303,11 @@
     let client = Client::new(Traffic::default());
     let (meant, wait) = ("i-before".parse().unwrap(), Millis(5000));
     let address = fleet.engines[0].address();
-    assert_eq!(order::probe(&client, address, &meant, wait).await.reported, Reported::Gone);
+    assert_eq!(order::probe(&client, address, &meant, wait).await.reported, Observation::Gone);
     let leave = Order::Leave("g1".parse().unwrap(), Epoch(1));
     assert_eq!(order::give(&client, address, &meant, &leave, wait).await.unwrap(), Reply::Gone);
     let here = fleet.engines[0].id().parse().unwrap();
-    assert!(matches!(order::probe(&client, address, &here, wait).await.reported, Reported::Pace(_)));
+    assert!(matches!(order::probe(&client, address, &here, wait).await.reported, Observation::Pace(_)));
 }
 
 #[tokio::test]
