--- a/crates/fleet/src/census.rs
+++ b/crates/fleet/src/census.rs
@@ -9,7 +9,7 @@
 use crate::catalog::Engine;
 use crate::plan::Group;
 use crate::runner::{Phase, Runner};
-use crate::snapshot::{Snapshot, find_phase, list_drafts, time_join};
+use crate::snapshot::{Snapshot, find_join_time, find_phase, list_drafts};
 
 /// The groups of one model.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -52,15 +52,15 @@
         !group.is_retired() && head.is_some_and(|head| find_phase(head, group) == Some(Phase::Open))
     };
     let rows = engine.models.iter().map(|model| {
-        let mine: Vec<&&Group> = groups.iter().filter(|group| group.model == model.name).collect();
-        let open = mine.iter().filter(|group| is_open(group)).count();
-        let retired = mine.iter().filter(|group| group.is_retired()).count();
+        let of_model: Vec<&&Group> = groups.iter().filter(|group| group.model == model.name).collect();
+        let open = of_model.iter().filter(|group| is_open(group)).count();
+        let retired = of_model.iter().filter(|group| group.is_retired()).count();
         Row {
             model: model.name.clone(),
             open,
-            forming: mine.len() - open - retired,
+            forming: of_model.len() - open - retired,
             retired,
-            holders: free.iter().filter(|runner| time_join(runner, model) < model.load).count(),
+            holders: free.iter().filter(|runner| find_join_time(runner, model) < model.load).count(),
         }
     });
     let rows = rows.collect();
--- a/crates/fleet/src/decide.rs
+++ b/crates/fleet/src/decide.rs
@@ -11,10 +11,10 @@
 use cottoncrank::id;
 
 use crate::catalog::{Engine, Model};
-use crate::form::{find_top, form_groups};
+use crate::form::{find_last_epoch, form_groups};
 use crate::issuer::Issuer;
 use crate::loads::Purpose;
-use crate::loss::{mark_halted, release_groups, retire_groups};
+use crate::loss::{mark_stalled, release_groups, retire_groups};
 use crate::memory::Memory;
 use crate::occupancy::Counts;
 use crate::order::Order;
@@ -40,21 +40,21 @@
 /// Decides what to do next.
 pub fn step(snapshot: &Snapshot, memory: &mut Memory) -> Step {
     let Some(published) = &snapshot.service.engine else { return Step::default() };
-    memory.forget(snapshot);
+    memory.prune(snapshot);
     let demand = memory.demands.entry(snapshot.service.id.clone()).or_default();
     if let Some(in_flight) = snapshot.in_flight.filter(|_| snapshot.serving) {
-        demand.note(list_used(snapshot, &published.models, in_flight), snapshot.now);
+        demand.record(list_utilization(snapshot, &published.models, in_flight), snapshot.now);
     }
     let engine = &Engine { models: demand.adjust(&published.models), ..published.clone() };
     let mut drafts = list_drafts(snapshot);
     let mut lost = 0;
     for draft in &mut drafts {
         lost += retire_groups(snapshot, draft, memory);
-        mark_halted(draft, memory);
+        mark_stalled(draft, memory);
         release_groups(snapshot, draft, memory);
     }
     let members = drafts.iter().flat_map(|draft| &draft.plan.groups).map(|group| group.members.len()).sum();
-    memory.losses.note(members, lost, snapshot.now);
+    memory.losses.record(members, lost, snapshot.now);
     let runners = drafts.iter().map(|draft| draft.runners.len()).sum();
     let risk = Risk::assess(&memory.losses, engine, runners, drafts.len());
     if snapshot.serving {
@@ -64,15 +64,16 @@
     let waiting = form_groups(snapshot, engine, &mut drafts, &risk, memory, settled);
     let mut step = Step::default();
     let shortages = list_shortages(&engine.models, &drafts, &risk);
-    let allowed =
-        |purpose| memory.loads.allowed(snapshot.now, engine, snapshot.ceiling, snapshot.serving, purpose);
-    let (repairs, reserves) = (allowed(Purpose::Repair), allowed(Purpose::Reserve));
+    let count_allowed = |purpose| {
+        memory.loads.count_allowed(snapshot.now, engine, snapshot.ceiling, snapshot.serving, purpose)
+    };
+    let (repair_loads, reserve_loads) = (count_allowed(Purpose::Repair), count_allowed(Purpose::Reserve));
     let mut issuer = Issuer {
         now: snapshot.now,
         memory,
         orders: &mut step.orders,
-        repairs,
-        reserves,
+        repair_loads,
+        reserve_loads,
         serving: snapshot.serving,
     };
     for draft in &drafts {
@@ -81,7 +82,7 @@
     // Before callers come, loads are short, and groups go first.
     if snapshot.serving || (!waiting && settled) {
         order_staging(snapshot, engine, &risk, &shortages, &drafts, &mut issuer);
-        order_preloads(&engine.models, &drafts, find_top(snapshot, &drafts), &mut issuer);
+        order_preloads(&engine.models, &drafts, find_last_epoch(snapshot, &drafts), &mut issuer);
     }
     let changed = drafts.into_iter().filter(|draft| match snapshot.plans.get(&draft.id) {
         Some(plan) => *plan != draft.plan,
@@ -92,16 +93,16 @@
 }
 
 /// The part of its slots in use, for each model that has open groups.
-fn list_used(snapshot: &Snapshot, models: &[Model], in_flight: &Counts) -> Vec<(id::Model, f64)> {
-    let used = |model: &Model| {
+fn list_utilization(snapshot: &Snapshot, models: &[Model], in_flight: &Counts) -> Vec<(id::Model, f64)> {
+    let find_utilization = |model: &Model| {
         let heads = snapshot.roster.list_heads(&snapshot.service.id, &model.name, snapshot.plans);
-        let running = |head: &Runner| {
+        let count_running = |head: &Runner| {
             let epoch = head.membership.as_ref().map(|place| place.epoch)?;
             Some(in_flight.get(&epoch).copied().unwrap_or(0).min(head.slots))
         };
         let slots: u32 = heads.iter().map(|head| head.slots).sum();
-        let running: u32 = heads.iter().filter_map(|head| running(head)).sum();
+        let running: u32 = heads.iter().filter_map(|head| count_running(head)).sum();
         (slots > 0).then(|| (model.name.clone(), f64::from(running) / f64::from(slots)))
     };
-    models.iter().filter_map(used).collect()
+    models.iter().filter_map(find_utilization).collect()
 }
--- a/crates/fleet/src/demand.rs
+++ b/crates/fleet/src/demand.rs
@@ -15,36 +15,36 @@
 
 /// The part of its slots in use may differ from one model to another by this factor: one
 /// that reads long prompts and writes short answers is as busy with half of the slots.
-const UNEVEN: f64 = 2.0;
+const MAX_UTILIZATION_RATIO: f64 = 2.0;
 
 /// Where no model has more than this part of its slots in use, nobody waits for room.
-const EASY: f64 = 0.5;
+const MIN_PRESSURE_UTILIZATION: f64 = 0.5;
 
 /// From this part on, the difference counts in full.
-const PRESSED: f64 = 0.7;
+const FULL_PRESSURE_UTILIZATION: f64 = 0.7;
 
 /// No model gives so much that its groups would have more than this part of their slots in
 /// use: what is left must bear the loss of some of them.
-const IDLE: f64 = 0.3;
+const MAX_DONOR_UTILIZATION: f64 = 0.3;
 
 /// What is in flight is averaged over about this time, in milliseconds: four times what a
 /// short burst lasts, and half of what a load from the weight store takes.
-const SMOOTHING: f64 = 8000.0;
+const SMOOTHING_TIME: f64 = 8000.0;
 
 /// Nothing follows from what was seen for less than this.
-const SEEN: Millis = Millis(5000);
+const MIN_OBSERVATION: Millis = Millis(5000);
 
 /// Parts are told anew once one has moved by this: half a group of sixteen in two hundred
 /// runners.
-const TOLD: f64 = 0.04;
+const MIN_LOGGED_CHANGE: f64 = 0.04;
 
 /// What the deciding node has seen of how busy the groups of each model are.
 #[derive(Clone, Debug, Default)]
 pub struct Demand {
     /// The part of the slots in use, by model.
-    used: HashMap<id::Model, f64>,
+    utilization: HashMap<id::Model, f64>,
     /// When it was first and last noted.
-    seen: Option<(Millis, Millis)>,
+    observed: Option<(Millis, Millis)>,
 }
 
 /// Which part of the runners a model is to have, and why.
@@ -57,35 +57,38 @@
     /// What it is to have, 0 to 1.
     pub needed: f64,
     /// The part of its slots in use, if it had open groups.
-    pub used: Option<f64>,
+    pub utilization: Option<f64>,
 }
 
 impl Share {
     /// Whether what it is to have differs from `other` by enough to say so.
     pub fn differs(&self, other: &Share) -> bool {
-        self.model != other.model || (self.needed - other.needed).abs() >= TOLD
+        self.model != other.model || (self.needed - other.needed).abs() >= MIN_LOGGED_CHANGE
     }
 }
 
 impl fmt::Display for Share {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Share { model, published, needed, used } = self;
-        let used = used.map_or("unknown".to_owned(), |used| format!("{used:.2}"));
-        write!(f, "{model} gets {needed:.2} of the runners, published {published:.2}, slots in use {used}")
+        let Share { model, published, needed, utilization } = self;
+        let utilization = utilization.map_or("unknown".to_owned(), |part| format!("{part:.2}"));
+        write!(
+            f,
+            "{model} gets {needed:.2} of the runners, published {published:.2}, slots in use {utilization}"
+        )
     }
 }
 
 impl Demand {
     /// Takes in which part of the slots of each model is in use at `now`. A model without
     /// open groups has none.
-    pub fn note(&mut self, used: impl IntoIterator<Item = (id::Model, f64)>, now: Millis) {
-        let (first, last) = self.seen.unwrap_or((now, now));
-        let weight = 1.0 - (-(now.since(last).0 as f64) / SMOOTHING).exp();
-        for (model, part) in used {
-            let mean = self.used.entry(model).or_insert(part);
-            *mean += weight * (part - *mean);
+    pub fn record(&mut self, utilization: impl IntoIterator<Item = (id::Model, f64)>, now: Millis) {
+        let (first, last) = self.observed.unwrap_or((now, now));
+        let weight = 1.0 - (-(now.since(last).0 as f64) / SMOOTHING_TIME).exp();
+        for (model, current) in utilization {
+            let mean = self.utilization.entry(model).or_insert(current);
+            *mean += weight * (current - *mean);
         }
-        self.seen = Some((first, now));
+        self.observed = Some((first, now));
     }
 
     /// The models with the parts that they need. The parts of those that are clearly less
@@ -93,15 +96,20 @@
     /// Callers of the busy model would wait while groups of the other one stand idle.
     pub fn adjust(&self, models: &[Model]) -> Vec<Model> {
         let mut adjusted = models.to_vec();
-        let most = models.iter().filter_map(|model| self.used.get(&model.name)).copied().fold(0.0, f64::max);
-        let pressed = ((most - EASY) / (PRESSED - EASY)).clamp(0.0, 1.0);
-        if pressed == 0.0 || self.seen.is_none_or(|(first, last)| last < first + SEEN) {
+        let highest =
+            models.iter().filter_map(|model| self.utilization.get(&model.name)).copied().fold(0.0, f64::max);
+        let pressure = ((highest - MIN_PRESSURE_UTILIZATION)
+            / (FULL_PRESSURE_UTILIZATION - MIN_PRESSURE_UTILIZATION))
+            .clamp(0.0, 1.0);
+        if pressure == 0.0 || self.observed.is_none_or(|(first, last)| last < first + MIN_OBSERVATION) {
             return adjusted;
         }
         for model in &mut adjusted {
-            let used = self.used.get(&model.name).copied().unwrap_or(most);
-            let needed = (used * UNEVEN / most).max(used / IDLE).min(1.0);
-            model.share *= 1.0 - pressed * (1.0 - needed);
+            let utilization = self.utilization.get(&model.name).copied().unwrap_or(highest);
+            let needed = (utilization * MAX_UTILIZATION_RATIO / highest)
+                .max(utilization / MAX_DONOR_UTILIZATION)
+                .min(1.0);
+            model.share *= 1.0 - pressure * (1.0 - needed);
         }
         let before: f64 = models.iter().map(|model| model.share).sum();
         let after: f64 = adjusted.iter().map(|model| model.share).sum();
@@ -114,12 +122,12 @@
     /// The parts of all models, for the log.
     pub fn list_shares(&self, models: &[Model]) -> Vec<Share> {
         let adjusted = self.adjust(models);
-        let parts = models.iter().zip(adjusted).map(|(published, needed)| Share {
+        let shares = models.iter().zip(adjusted).map(|(published, needed)| Share {
             model: published.name.clone(),
             published: published.share,
             needed: needed.share,
-            used: self.used.get(&published.name).copied(),
+            utilization: self.utilization.get(&published.name).copied(),
         });
-        parts.collect()
+        shares.collect()
     }
 }
--- a/crates/fleet/src/form.rs
+++ b/crates/fleet/src/form.rs
@@ -8,35 +8,35 @@
 use crate::plan::{Group, State};
 use crate::reserve::Risk;
 use crate::runner::{Epoch, Runner};
-use crate::snapshot::{Draft, Snapshot, time_join};
+use crate::snapshot::{Draft, Snapshot, find_join_time};
 use crate::targets::{count_active, list_targets};
 
 /// Forming a group this much sooner is worth as much as the whole of what a
 /// model is meant to have: about the time of a load from the weight store.
-const FORM_SCALE: Millis = Millis(15_000);
+const FORM_TIME_SCALE: Millis = Millis(15_000);
 
 /// Runners that a domain keeps beside a group of the largest model, where another
 /// domain can take it: one for each of two models.
-const RESERVE: usize = 2;
+const SPARE_RUNNERS: usize = 2;
 
-/// Where a domain would keep fewer than [`RESERVE`], a group there counts as
+/// Where a domain would keep fewer than [`SPARE_RUNNERS`], a group there counts as
 /// worth less by this part of what its model is meant to have.
-const BARE: f64 = 0.6;
+const NO_SPARES_PENALTY: f64 = 0.6;
 
 /// The same for each group of the model that the domain has already: its loss
 /// as a whole takes them all.
-const CROWDING: f64 = 0.05;
+const CROWDING_PENALTY: f64 = 0.05;
 
 /// A whole set of free runners that hold the largest model goes before all other
 /// choices, whose scores stay below this.
-const WHOLE: f64 = 10.0;
+const COMPLETE_SET_BONUS: f64 = 10.0;
 
 /// Beyond what is meant, groups are formed up to this factor out of runners that
 /// hold the model anyway.
-const EXTRA: f64 = 1.5;
+const MAX_EXCESS_FACTOR: f64 = 1.5;
 
 /// A group that could be formed now.
-struct Choice {
+struct Candidate {
     draft: usize,
     model: usize,
     members: Vec<id::Runner>,
@@ -46,11 +46,11 @@
 
 /// What a choice is made by beside the runners.
 #[derive(Clone, Copy)]
-struct Counts<'a> {
+struct Goals<'a> {
     /// The groups of each model that are not given up.
-    alive: &'a [usize],
+    active: &'a [usize],
     /// The groups that each is meant to have.
-    wanted: &'a [f64],
+    targets: &'a [f64],
     /// Whether no runner has come for a while.
     settled: bool,
 }
@@ -66,130 +66,145 @@
     settled: bool,
 ) -> bool {
     let models = &engine.models;
-    let wanted = list_targets(models, drafts, risk);
-    let mut alive = count_active(models, drafts);
-    while let Some(choice) = find_choice(
+    let targets = list_targets(models, drafts, risk);
+    let mut active = count_active(models, drafts);
+    while let Some(candidate) = find_candidate(
         snapshot,
         models,
         drafts,
         risk,
         memory,
-        Counts { alive: &alive, wanted: &wanted, settled },
+        Goals { active: &active, targets: &targets, settled },
     ) {
         // A model without any group does not wait until others have loaded.
-        let patient = snapshot.serving && alive[choice.model] > 0;
-        if choice.loads
-            > memory.loads.allowed(snapshot.now, engine, snapshot.ceiling, patient, Purpose::Repair)
+        let respects_limit = snapshot.serving && active[candidate.model] > 0;
+        if candidate.loads
+            > memory.loads.count_allowed(
+                snapshot.now,
+                engine,
+                snapshot.ceiling,
+                respects_limit,
+                Purpose::Repair,
+            )
         {
             return true;
         }
-        memory.loads.begin(
+        memory.loads.record_started(
             snapshot.now,
-            choice.loads,
-            models[choice.model].load,
+            candidate.loads,
+            models[candidate.model].load,
             snapshot.serving,
             Purpose::Repair,
         );
-        alive[choice.model] += 1;
-        let epoch = find_top(snapshot, drafts).next();
-        let draft = &mut drafts[choice.draft];
+        active[candidate.model] += 1;
+        let epoch = find_last_epoch(snapshot, drafts).next();
+        let draft = &mut drafts[candidate.draft];
         let name: id::Group = format!("g{epoch}").parse().expect("a letter and digits are a name");
-        let model = models[choice.model].name.clone();
-        let text = choice.members.iter().map(id::Runner::as_str).collect::<Vec<_>>().join(" ");
-        draft.reasons.push(format!("form {name} of {model} with {text}"));
-        draft.plan.top = epoch;
+        let model = models[candidate.model].name.clone();
+        let names = candidate.members.iter().map(id::Runner::as_str).collect::<Vec<_>>().join(" ");
+        draft.reasons.push(format!("form {name} of {model} with {names}"));
+        draft.plan.last_epoch = epoch;
         draft.plan.groups.push(Group {
             name,
             epoch,
             service: snapshot.service.id.clone(),
             model,
-            lives: choice.members.iter().map(|id| snapshot.roster.get(id)?.life).collect(),
-            members: choice.members,
+            incarnations: candidate.members.iter().map(|id| snapshot.roster.get(id)?.life).collect(),
+            members: candidate.members,
             state: State::Active,
-            still: false,
+            stalled: false,
         });
     }
     false
 }
 
 /// The highest epoch known of, planned or seen at a runner.
-pub(crate) fn find_top(snapshot: &Snapshot, drafts: &[Draft]) -> Epoch {
-    let planned = drafts.iter().map(|draft| draft.plan.top);
-    let kept = snapshot.plans.values().map(|plan| plan.top);
+pub(crate) fn find_last_epoch(snapshot: &Snapshot, drafts: &[Draft]) -> Epoch {
+    let planned = drafts.iter().map(|draft| draft.plan.last_epoch);
+    let stored = snapshot.plans.values().map(|plan| plan.last_epoch);
     let seen = snapshot.roster.iter().filter_map(|runner| Some(runner.membership.as_ref()?.epoch));
-    planned.chain(kept).chain(seen).max().unwrap_or_default()
+    planned.chain(stored).chain(seen).max().unwrap_or_default()
 }
 
-fn find_choice(
+fn find_candidate(
     snapshot: &Snapshot,
     models: &[Model],
     drafts: &[Draft],
     risk: &Risk,
     memory: &Memory,
-    Counts { alive, wanted, settled }: Counts,
-) -> Option<Choice> {
+    Goals { active, targets, settled }: Goals,
+) -> Option<Candidate> {
     let largest = models.iter().map(|model| model.size).max().unwrap_or_default();
-    let mut best: Option<Choice> = None;
+    let mut best: Option<Candidate> = None;
     for (at, draft) in drafts.iter().enumerate() {
         let free = draft.list_free();
         for (model_at, model) in models.iter().enumerate() {
             if free.len() < model.size {
                 continue;
             }
-            if !snapshot.serving && crowds_out(models, model, draft, free.len(), alive, wanted, settled) {
+            if !snapshot.serving
+                && is_crowding_out(models, model, draft, free.len(), active, targets, settled)
+            {
                 continue;
             }
-            let part = |at: usize| alive[at] as f64 / wanted[at];
+            let fulfillment = |at: usize| active[at] as f64 / targets[at];
             // What a model that lacks more has left is completed sooner than loaded anew.
-            let needed = |runner: &Runner| {
+            let is_needed_elsewhere = |runner: &Runner| {
                 let mut others = models.iter().enumerate().filter(|(at, _)| *at != model_at);
-                others.any(|(at, other)| runner.has_served(&other.name) && part(at) < part(model_at))
+                others.any(|(at, other)| {
+                    runner.has_served(&other.name) && fulfillment(at) < fulfillment(model_at)
+                })
             };
-            let mut by_time: Vec<&Runner> = free.iter().copied().filter(|runner| !needed(runner)).collect();
+            let mut by_time: Vec<&Runner> =
+                free.iter().copied().filter(|runner| !is_needed_elsewhere(runner)).collect();
             if by_time.len() < model.size {
                 continue;
             }
             // Where it takes no longer, those go last that turned requests away as heads, and the
             // first one is the head.
-            by_time.sort_by_key(|runner| (time_join(runner, model), memory.is_refusing(&runner.id)));
+            by_time.sort_by_key(|runner| (find_join_time(runner, model), memory.is_rejecting(&runner.id)));
             let members = &mut by_time[..model.size];
-            if let Some(head) = members.iter().position(|runner| !memory.is_refusing(&runner.id)) {
+            if let Some(head) = members.iter().position(|runner| !memory.is_rejecting(&runner.id)) {
                 members[..=head].rotate_right(1);
             }
-            let time = members.iter().map(|runner| time_join(runner, model)).max().unwrap_or_default();
-            let loads = members.iter().filter(|runner| time_join(runner, model) == model.load).count();
+            let time = members.iter().map(|runner| find_join_time(runner, model)).max().unwrap_or_default();
+            let loads = members.iter().filter(|runner| find_join_time(runner, model) == model.load).count();
             // A member that loads from the weight store is bound for many seconds.
             // Staged on the side instead, it stays free for whatever is lost next.
-            if loads > 0 && snapshot.serving && alive[model_at] > 0 {
+            if loads > 0 && snapshot.serving && active[model_at] > 0 {
                 continue;
             }
-            let part = part(model_at);
-            let held = free.iter().filter(|runner| time_join(runner, model) < model.load).count();
+            let fulfillment = fulfillment(model_at);
+            let holders = free.iter().filter(|runner| find_join_time(runner, model) < model.load).count();
             // Members of small groups stand in for the spare runners of the largest model.
             let spares = if model.size == largest { 0 } else { risk.count_spares(model) };
-            let rich = loads == 0 && held >= model.size + spares;
-            let most = if rich { wanted[model_at] * EXTRA } else { wanted[model_at] };
-            if alive[model_at] as f64 >= most {
+            let has_surplus = loads == 0 && holders >= model.size + spares;
+            let max_groups =
+                if has_surplus { targets[model_at] * MAX_EXCESS_FACTOR } else { targets[model_at] };
+            if active[model_at] as f64 >= max_groups {
                 continue;
             }
             let time = if loads > 0 { Millis(0) } else { time };
-            let here = draft.plan.groups.iter().filter(|group| group.model == model.name).count();
-            let bare = model.size == largest && free.len() < model.size + RESERVE;
+            let groups_here = draft.plan.groups.iter().filter(|group| group.model == model.name).count();
+            let leaves_no_spares = model.size == largest && free.len() < model.size + SPARE_RUNNERS;
             // The free runners that hold a large model are what is left of a group and
             // what completes it: they go before all else, also beyond what is meant where
             // they have all served it, for serving another model would make them lose it.
             // Not so where callers want less of it than was published.
-            let kept =
-                !is_lowered(snapshot, model) && members.iter().all(|runner| runner.has_served(&model.name));
-            let whole = snapshot.serving && loads == 0 && model.size == largest && (part < 1.0 || kept);
-            let score = part
-                + time.0 as f64 / FORM_SCALE.0 as f64
-                + here as f64 * CROWDING
-                + if bare { BARE } else { 0.0 }
-                - if whole { WHOLE } else { 0.0 };
+            let keeps_served = !has_reduced_share(snapshot, model)
+                && members.iter().all(|runner| runner.has_served(&model.name));
+            let completes_largest = snapshot.serving
+                && loads == 0
+                && model.size == largest
+                && (fulfillment < 1.0 || keeps_served);
+            let score = fulfillment
+                + time.0 as f64 / FORM_TIME_SCALE.0 as f64
+                + groups_here as f64 * CROWDING_PENALTY
+                + if leaves_no_spares { NO_SPARES_PENALTY } else { 0.0 }
+                - if completes_largest { COMPLETE_SET_BONUS } else { 0.0 };
             if best.as_ref().is_none_or(|best| score < best.score) {
                 let members = members.iter().map(|runner| runner.id.clone()).collect();
-                best = Some(Choice { draft: at, model: model_at, members, loads, score });
+                best = Some(Candidate { draft: at, model: model_at, members, loads, score });
             }
         }
     }
@@ -197,7 +212,7 @@
 }
 
 /// Whether a model needs a smaller part of the runners than operators published for it.
-fn is_lowered(snapshot: &Snapshot, model: &Model) -> bool {
+fn has_reduced_share(snapshot: &Snapshot, model: &Model) -> bool {
     let published = snapshot.service.engine.iter().flat_map(|engine| &engine.models);
     published.filter(|known| known.name == model.name).any(|known| model.share < known.share)
 }
@@ -205,19 +220,19 @@
 /// Whether a group of `model` takes the room of the first large group of a domain that
 /// is meant to have one. Runners of a fleet that starts appear one by one: without
 /// this, small groups of the first ones left domains that no large group fitted into.
-fn crowds_out(
+fn is_crowding_out(
     models: &[Model],
     model: &Model,
     draft: &Draft,
     free: usize,
-    alive: &[usize],
-    wanted: &[f64],
+    active: &[usize],
+    targets: &[f64],
     settled: bool,
 ) -> bool {
     let Some(at) = (0..models.len()).max_by_key(|at| models[*at].size) else { return false };
     let large = &models[at];
     let has_one = draft.plan.groups.iter().any(|group| group.model == large.name);
-    let shortages = (alive[at] as f64) < wanted[at];
-    let may_fit = free >= large.size || !settled;
-    model.size < large.size && shortages && !has_one && may_fit && free < model.size + large.size
+    let below_target = (active[at] as f64) < targets[at];
+    let can_fit = free >= large.size || !settled;
+    model.size < large.size && below_target && !has_one && can_fit && free < model.size + large.size
 }
--- a/crates/fleet/src/issuer.rs
+++ b/crates/fleet/src/issuer.rs
@@ -3,7 +3,7 @@
 use cottoncrank::{Millis, id};
 
 use crate::memory::Memory;
-use crate::order::{Order, REPEAT, REPEAT_TAKEN};
+use crate::order::{Order, REPEAT_ACKNOWLEDGED_INTERVAL, REPEAT_INTERVAL};
 use crate::runner::Runner;
 
 /// Gives each order once, and again when it shows no effect.
@@ -12,27 +12,31 @@
     pub(crate) memory: &'a mut Memory,
     pub(crate) orders: &'a mut Vec<(id::Runner, Order)>,
     /// Loads for groups that callers need that may still begin in this step.
-    pub(crate) repairs: usize,
+    pub(crate) repair_loads: usize,
     /// The same for loads in reserve.
-    pub(crate) reserves: usize,
+    pub(crate) reserve_loads: usize,
     pub(crate) serving: bool,
 }
 
 impl Issuer<'_> {
-    pub(crate) fn give(&mut self, runner: &id::Runner, order: Order) {
+    pub(crate) fn issue(&mut self, runner: &id::Runner, order: Order) {
         let key = (runner.clone(), order);
-        let pause = if self.memory.taken.contains(&key) { REPEAT_TAKEN } else { REPEAT };
-        let due = self.memory.given.get(&key).is_none_or(|at| self.now >= *at + pause);
+        let interval = if self.memory.acknowledged.contains(&key) {
+            REPEAT_ACKNOWLEDGED_INTERVAL
+        } else {
+            REPEAT_INTERVAL
+        };
+        let due = self.memory.issued_at.get(&key).is_none_or(|at| self.now >= *at + interval);
         if due {
-            self.memory.given.insert(key.clone(), self.now);
+            self.memory.issued_at.insert(key.clone(), self.now);
             self.orders.push(key);
         }
     }
 
     /// Whether an order was first given at least `span` ago.
-    pub(crate) fn has_passed(&mut self, runner: &id::Runner, order: &Order, span: Millis) -> bool {
+    pub(crate) fn has_waited(&mut self, runner: &id::Runner, order: &Order, span: Millis) -> bool {
         let key = (runner.clone(), order.clone());
-        let first = *self.memory.first.entry(key).or_insert(self.now);
+        let first = *self.memory.first_issued_at.entry(key).or_insert(self.now);
         self.now >= first + span
     }
 
--- a/crates/fleet/src/loads.rs
+++ b/crates/fleet/src/loads.rs
@@ -8,13 +8,13 @@
 use crate::settings::Ceiling;
 
 /// Kept below the ceiling for orders that are carried out later than given.
-const MARGIN: f64 = 1.5;
+const LATE_ORDER_MARGIN: f64 = 1.5;
 
 /// The ceiling allows this many loads beyond its rate in each window.
-const ALLOWANCE: f64 = 3.0;
+const BURST_ALLOWANCE: f64 = 3.0;
 
 /// Loads begun before callers come take this many times less, as the platform says.
-const EARLY: u64 = 10;
+const PRE_SERVING_SPEEDUP: u64 = 10;
 
 /// What a load is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -29,13 +29,13 @@
 #[derive(Clone, Debug, Default)]
 pub struct Loads {
     /// When each was begun, and when it should be over.
-    begun: VecDeque<(Millis, Millis, Purpose)>,
+    started: VecDeque<(Millis, Millis, Purpose)>,
 }
 
 impl Loads {
     /// How many loads may begin at `now`. While callers are `serving`, no more
     /// than run at full speed side by side: more would delay them all.
-    pub fn allowed(
+    pub fn count_allowed(
         &self,
         now: Millis,
         engine: &Engine,
@@ -44,25 +44,33 @@
         purpose: Purpose,
     ) -> usize {
         let seconds = ceiling.window.0 as f64 / 1000.0;
-        let most = (engine.loads_per_second * seconds * ceiling.overshoot + ALLOWANCE - MARGIN) as usize;
-        let recent = self.begun.iter().filter(|(begun, ..)| now < *begun + ceiling.window).count();
-        let counts = |held: Purpose| purpose == Purpose::Reserve || held == Purpose::Repair;
-        let running = self.begun.iter().filter(|(_, over, held)| now < *over && counts(*held)).count();
-        let by_rate = most.saturating_sub(recent);
+        let max_in_window = (engine.loads_per_second * seconds * ceiling.overshoot + BURST_ALLOWANCE
+            - LATE_ORDER_MARGIN) as usize;
+        let recent = self.started.iter().filter(|(started, ..)| now < *started + ceiling.window).count();
+        let counts = |other: Purpose| purpose == Purpose::Reserve || other == Purpose::Repair;
+        let running = self.started.iter().filter(|(_, ends, other)| now < *ends && counts(*other)).count();
+        let rate_limited = max_in_window.saturating_sub(recent);
         match serving {
-            true => by_rate.min(engine.loads_at_once.saturating_sub(running)),
-            false => by_rate,
+            true => rate_limited.min(engine.loads_at_once.saturating_sub(running)),
+            false => rate_limited,
         }
     }
 
     /// Loads begin at `now` that take `time` while callers are `serving`.
-    pub fn begin(&mut self, now: Millis, count: usize, time: Millis, serving: bool, purpose: Purpose) {
-        let time = if serving { time } else { Millis(time.0 / EARLY) };
-        self.begun.extend(std::iter::repeat_n((now, now + time, purpose), count));
+    pub fn record_started(
+        &mut self,
+        now: Millis,
+        count: usize,
+        time: Millis,
+        serving: bool,
+        purpose: Purpose,
+    ) {
+        let time = if serving { time } else { Millis(time.0 / PRE_SERVING_SPEEDUP) };
+        self.started.extend(std::iter::repeat_n((now, now + time, purpose), count));
     }
 
     /// Forgets loads that are over and outside the window.
-    pub fn forget(&mut self, now: Millis, ceiling: &Ceiling) {
-        self.begun.retain(|(begun, over, _)| now < *over || now < *begun + ceiling.window);
+    pub fn prune(&mut self, now: Millis, ceiling: &Ceiling) {
+        self.started.retain(|(started, ends, _)| now < *ends || now < *started + ceiling.window);
     }
 }
--- a/crates/fleet/src/loss.rs
+++ b/crates/fleet/src/loss.rs
@@ -15,7 +15,7 @@
 
 /// A group with one in so many of its slots in use serves hardly anybody: what is in flight there
 /// is on its way to be turned away.
-const IDLE: u32 = 8;
+const IDLE_SLOTS_PER_REQUEST: u32 = 8;
 
 /// Why a group cannot go on, and whether it can still finish what it has.
 struct Loss {
@@ -30,7 +30,7 @@
 }
 
 fn find_loss(snapshot: &Snapshot, group: &Group, memory: &Memory) -> Option<Loss> {
-    if memory.refused.contains(&(group.name.clone(), group.epoch)) {
+    if memory.refused_joins.contains(&(group.name.clone(), group.epoch)) {
         return Some(Loss::lost("a member refused to join".to_owned()));
     }
     let head = group.head().and_then(|id| snapshot.roster.get(id));
@@ -46,22 +46,22 @@
         Some(runner) => find_fault(snapshot, group, runner),
         None => find_absence(snapshot, group, member, open),
     });
-    losses.max_by_key(|loss| loss.state == State::Lost).or_else(|| find_refusal(snapshot, group, memory))
+    losses.max_by_key(|loss| loss.state == State::Lost).or_else(|| find_rejection(snapshot, group, memory))
 }
 
 /// Whether a head in good health turns all requests away that another member could take. A group
 /// that is merely full has requests in flight.
-fn is_turned_away(snapshot: &Snapshot, group: &Group, memory: &Memory) -> bool {
-    let Some(head) = group.head().filter(|head| snapshot.refusing.contains(*head)) else { return false };
+fn is_rejecting_all(snapshot: &Snapshot, group: &Group, memory: &Memory) -> bool {
+    let Some(head) = group.head().filter(|head| snapshot.rejecting.contains(*head)) else { return false };
     let slots = snapshot.roster.get(head).map_or(0, |head| head.slots);
     let running = snapshot.in_flight.map(|counts| counts.get(&group.epoch).copied().unwrap_or(0));
-    let idle = running.is_some_and(|running| running * IDLE <= slots);
-    idle && group.members.iter().any(|member| !memory.is_refusing(member))
+    let idle = running.is_some_and(|running| running * IDLE_SLOTS_PER_REQUEST <= slots);
+    idle && group.members.iter().any(|member| !memory.is_rejecting(member))
 }
 
-fn find_refusal(snapshot: &Snapshot, group: &Group, memory: &Memory) -> Option<Loss> {
+fn find_rejection(snapshot: &Snapshot, group: &Group, memory: &Memory) -> Option<Loss> {
     let reason = || format!("its head {} turns requests away", group.members[0]);
-    is_turned_away(snapshot, group, memory).then(|| Loss { state: State::Closing, reason: reason() })
+    is_rejecting_all(snapshot, group, memory).then(|| Loss { state: State::Closing, reason: reason() })
 }
 
 /// What is wrong with a member that is there.
@@ -113,29 +113,30 @@
 /// Whether no runner of a retired group takes requests any more, or depends on
 /// one that does. Entries say nothing of that: all members may be cut off from the
 /// store alone, and come back one after the other.
-fn is_over(snapshot: &Snapshot, group: &Group, memory: &Memory) -> bool {
+fn is_releasable(snapshot: &Snapshot, group: &Group, memory: &Memory) -> bool {
     let Some(head) = group.head() else { return true };
     // Its process is no more, and what it served has ended with that.
     if snapshot.probes.is_gone(head) || snapshot.has_restarted(group, head) {
         return true;
     }
-    let left = memory.taken.contains(&(head.clone(), Order::Leave(group.name.clone(), group.epoch)));
+    let has_left =
+        memory.acknowledged.contains(&(head.clone(), Order::Leave(group.name.clone(), group.epoch)));
     match snapshot.find(head) {
-        Some(head) => left && find_phase(head, group).is_none(),
-        None if left => true,
+        Some(head) => has_left && find_phase(head, group).is_none(),
+        None if has_left => true,
         // The head cannot be asked: it may be cut off and open. Once a member has
         // left, it stands still, and after a time it breaks.
         None => memory
-            .halted
+            .stalled_since
             .get(&(group.name.clone(), group.epoch))
             .is_some_and(|since| snapshot.now >= *since + snapshot.stall + STALL_MARGIN),
     }
 }
 
 /// Writes down which groups that were given up stand still by now.
-pub(crate) fn mark_halted(draft: &mut Draft, memory: &Memory) {
+pub(crate) fn mark_stalled(draft: &mut Draft, memory: &Memory) {
     for group in draft.plan.groups.iter_mut().filter(|group| group.is_retired()) {
-        group.still |= memory.halted.contains_key(&(group.name.clone(), group.epoch));
+        group.stalled |= memory.stalled_since.contains_key(&(group.name.clone(), group.epoch));
     }
 }
 
@@ -143,10 +144,10 @@
 pub(crate) fn release_groups(snapshot: &Snapshot, draft: &mut Draft, memory: &Memory) {
     let reasons = &mut draft.reasons;
     draft.plan.groups.retain(|group| {
-        let over = group.is_retired() && is_over(snapshot, group, memory);
-        if over {
+        let releasable = group.is_retired() && is_releasable(snapshot, group, memory);
+        if releasable {
             reasons.push(format!("release {}", group.name));
         }
-        !over
+        !releasable
     });
 }
--- a/crates/fleet/src/memory.rs
+++ b/crates/fleet/src/memory.rs
@@ -7,7 +7,7 @@
 use crate::catalog::{Model, Service};
 use crate::demand::{Demand, Share};
 use crate::loads::{Loads, Purpose};
-use crate::order::{Order, REPEAT_TAKEN};
+use crate::order::{Order, REPEAT_ACKNOWLEDGED_INTERVAL};
 use crate::reserve::Losses;
 use crate::roster::Roster;
 use crate::runner::{Epoch, Life, Runner, is_later};
@@ -16,14 +16,14 @@
 
 /// A fleet is taken to have all its runners when none has come for this long.
 /// Those that start together write their entries within a second.
-const SETTLED: Millis = Millis(1000);
+const SETTLE_TIME: Millis = Millis(1000);
 
 /// A runner that was told to load a model is taken to do so for this many times as long
 /// as a load takes at full speed: others may load beside it. An order may be lost, though.
-const STAGING_PATIENCE: u64 = 3;
+const STAGING_TIMEOUT_FACTOR: u64 = 3;
 
 /// A runner that turned requests away is made no head for this long, if another one can be.
-const REFUSED: Millis = Millis(15_000);
+const REJECTING_TTL: Millis = Millis(15_000);
 
 /// A model that a runner was told to load onto its host.
 #[derive(Clone, Debug)]
@@ -32,7 +32,7 @@
     /// Until when it may still load it.
     until: Millis,
     /// What the host held before.
-    held: Vec<id::Model>,
+    staged_before: Vec<id::Model>,
 }
 
 /// What the deciding node remembers besides the plan. All of it may be lost: a
@@ -40,21 +40,21 @@
 #[derive(Clone, Debug, Default)]
 pub struct Memory {
     /// When each order was last given.
-    pub(crate) given: HashMap<(id::Runner, Order), Millis>,
+    pub(crate) issued_at: HashMap<(id::Runner, Order), Millis>,
     /// When a closing order was first given to a head that has no entry.
-    pub(crate) first: HashMap<(id::Runner, Order), Millis>,
+    pub(crate) first_issued_at: HashMap<(id::Runner, Order), Millis>,
     /// Orders that the runner answered as done or begun.
-    pub(crate) taken: HashSet<(id::Runner, Order)>,
+    pub(crate) acknowledged: HashSet<(id::Runner, Order)>,
     /// The lives of the runners that the above were given to.
-    lives: HashMap<id::Runner, Life>,
+    incarnations: HashMap<id::Runner, Life>,
     /// What each runner was last told to stage.
-    staged: HashMap<id::Runner, Staging>,
+    staging: HashMap<id::Runner, Staging>,
     /// Groups whose members were refused in a way that no repeat mends.
-    pub(crate) refused: HashSet<(id::Group, Epoch)>,
+    pub(crate) refused_joins: HashSet<(id::Group, Epoch)>,
     /// Since when a retired group lacks a member and must stand still.
-    pub(crate) halted: HashMap<(id::Group, Epoch), Millis>,
+    pub(crate) stalled_since: HashMap<(id::Group, Epoch), Millis>,
     /// Runners that turned requests away as heads, and when they were last seen to.
-    refusing: HashMap<id::Runner, Millis>,
+    rejecting: HashMap<id::Runner, Millis>,
     /// Loads begun lately.
     pub(crate) loads: Loads,
     /// Members lost so far.
@@ -62,14 +62,14 @@
     /// How busy the groups of each model are, by service.
     pub(crate) demands: HashMap<id::Service, Demand>,
     /// The most runners seen so far, and since when.
-    runners: usize,
-    grown: Millis,
+    max_runners: usize,
+    grown_at: Millis,
 }
 
 impl Memory {
     /// What a node starts with that begins to decide.
     pub fn resume(stalls: &Stalls) -> Memory {
-        Memory { halted: stalls.list(), ..Memory::default() }
+        Memory { stalled_since: stalls.list(), ..Memory::default() }
     }
 
     /// Which part of the runners each model of a service is to have.
@@ -79,49 +79,56 @@
     }
 
     /// How many things are remembered; bounded by the runners and groups there are.
-    pub fn count_remembered(&self) -> usize {
-        let orders = self.given.len() + self.first.len() + self.taken.len() + self.staged.len();
-        orders + self.refused.len() + self.halted.len()
+    pub fn count_entries(&self) -> usize {
+        let orders =
+            self.issued_at.len() + self.first_issued_at.len() + self.acknowledged.len() + self.staging.len();
+        orders + self.refused_joins.len() + self.stalled_since.len()
     }
 
     /// A runner answered an order as done or begun at `now`.
     ///
     /// The answer is of the life it was given in: `life`. What a former life took, the
     /// present one knows nothing of.
-    pub fn note_taken(&mut self, runner: &id::Runner, life: Option<Life>, order: &Order, now: Millis) {
+    pub fn record_acknowledged(
+        &mut self,
+        runner: &id::Runner,
+        life: Option<Life>,
+        order: &Order,
+        now: Millis,
+    ) {
         if let Order::Leave(group, epoch) = order {
             // Whichever member left: the group stands still from now on.
-            self.halted.entry((group.clone(), *epoch)).or_insert(now);
+            self.stalled_since.entry((group.clone(), *epoch)).or_insert(now);
         }
-        let present = self.lives.get(runner).copied();
-        if !is_later(present, life) {
-            self.taken.insert((runner.clone(), order.clone()));
+        let current = self.incarnations.get(runner).copied();
+        if !is_later(current, life) {
+            self.acknowledged.insert((runner.clone(), order.clone()));
         }
     }
 
     /// Forgets what was told to former lives of runners.
-    fn notice_lives(&mut self, roster: &Roster) {
+    fn forget_old_incarnations(&mut self, roster: &Roster) {
         for runner in roster.iter() {
             let Some(life) = runner.life else { continue };
-            let before = self.lives.insert(runner.id.clone(), life);
-            if is_later(Some(life), before) {
-                let other = |(id, _): &(id::Runner, Order)| *id != runner.id;
-                self.given.retain(|key, _| other(key));
-                self.first.retain(|key, _| other(key));
-                self.taken.retain(other);
-                self.staged.remove(&runner.id);
-                self.refusing.remove(&runner.id);
+            let previous = self.incarnations.insert(runner.id.clone(), life);
+            if is_later(Some(life), previous) {
+                let is_other = |(id, _): &(id::Runner, Order)| *id != runner.id;
+                self.issued_at.retain(|key, _| is_other(key));
+                self.first_issued_at.retain(|key, _| is_other(key));
+                self.acknowledged.retain(is_other);
+                self.staging.remove(&runner.id);
+                self.rejecting.remove(&runner.id);
             }
         }
     }
 
     /// Whether a runner has turned requests away lately: another one had better be the head.
-    pub(crate) fn is_refusing(&self, runner: &id::Runner) -> bool {
-        self.refusing.contains_key(runner)
+    pub(crate) fn is_rejecting(&self, runner: &id::Runner) -> bool {
+        self.rejecting.contains_key(runner)
     }
 
     /// A runner is told to load a model on the side.
-    pub(crate) fn note_staging(
+    pub(crate) fn record_staging(
         &mut self,
         runner: &Runner,
         model: &Model,
@@ -129,60 +136,60 @@
         serving: bool,
         purpose: Purpose,
     ) {
-        let patience = Millis(model.load.0 * STAGING_PATIENCE);
+        let timeout = Millis(model.load.0 * STAGING_TIMEOUT_FACTOR);
         let staging =
-            Staging { model: model.name.clone(), until: now + patience, held: runner.staged.clone() };
-        self.staged.insert(runner.id.clone(), staging);
-        self.loads.begin(now, 1, model.load, serving, purpose);
+            Staging { model: model.name.clone(), until: now + timeout, staged_before: runner.staged.clone() };
+        self.staging.insert(runner.id.clone(), staging);
+        self.loads.record_started(now, 1, model.load, serving, purpose);
     }
 
     /// The model that a runner was last told to stage, if it has it or may still load it.
     pub(crate) fn last_staged(&self, runner: &Runner, now: Millis) -> Option<&id::Model> {
-        let staging = self.staged.get(&runner.id)?;
-        let loading = now < staging.until && runner.staged == staging.held;
+        let staging = self.staging.get(&runner.id)?;
+        let loading = now < staging.until && runner.staged == staging.staged_before;
         (loading || runner.staged.contains(&staging.model)).then_some(&staging.model)
     }
 
     /// Forgets what was given to runners, and known of groups, that are gone.
-    pub(crate) fn forget(&mut self, snapshot: &Snapshot) {
-        self.notice_lives(snapshot.roster);
-        self.refusing.extend(snapshot.refusing.iter().map(|runner| (runner.clone(), snapshot.now)));
-        self.refusing.retain(|_, last| snapshot.now < *last + REFUSED);
-        let known = |runner: &id::Runner| snapshot.roster.recall(runner).is_some();
+    pub(crate) fn prune(&mut self, snapshot: &Snapshot) {
+        self.forget_old_incarnations(snapshot.roster);
+        self.rejecting.extend(snapshot.rejecting.iter().map(|runner| (runner.clone(), snapshot.now)));
+        self.rejecting.retain(|_, last| snapshot.now < *last + REJECTING_TTL);
+        let is_known = |runner: &id::Runner| snapshot.roster.recall(runner).is_some();
         let groups = snapshot.plans.values().flat_map(|plan| &plan.groups);
         let names: HashSet<(&id::Group, Epoch)> = groups.map(|group| (&group.name, group.epoch)).collect();
-        let planned = |group: &id::Group, epoch: Epoch| names.contains(&(group, epoch));
-        let matters = |(runner, order): &(id::Runner, Order)| {
-            known(runner) && order.group().is_none_or(|(group, epoch)| planned(group, epoch))
+        let is_planned = |group: &id::Group, epoch: Epoch| names.contains(&(group, epoch));
+        let is_relevant = |(runner, order): &(id::Runner, Order)| {
+            is_known(runner) && order.group().is_none_or(|(group, epoch)| is_planned(group, epoch))
         };
-        let lately = |at: &Millis| snapshot.now < *at + REPEAT_TAKEN;
-        self.given.retain(|key, at| matters(key) || lately(at));
-        self.first.retain(|key, _| matters(key));
-        self.taken.retain(matters);
-        self.lives.retain(|runner, _| known(runner));
-        self.staged.retain(|runner, _| known(runner));
-        self.refused.retain(|(group, epoch)| planned(group, *epoch));
-        self.halted.retain(|(group, epoch), _| planned(group, *epoch));
-        self.loads.forget(snapshot.now, snapshot.ceiling);
+        let is_recent = |at: &Millis| snapshot.now < *at + REPEAT_ACKNOWLEDGED_INTERVAL;
+        self.issued_at.retain(|key, at| is_relevant(key) || is_recent(at));
+        self.first_issued_at.retain(|key, _| is_relevant(key));
+        self.acknowledged.retain(is_relevant);
+        self.incarnations.retain(|runner, _| is_known(runner));
+        self.staging.retain(|runner, _| is_known(runner));
+        self.refused_joins.retain(|(group, epoch)| is_planned(group, *epoch));
+        self.stalled_since.retain(|(group, epoch), _| is_planned(group, *epoch));
+        self.loads.prune(snapshot.now, snapshot.ceiling);
     }
 
     /// Whether no runner has come for a while.
     pub(crate) fn is_settled(&mut self, runners: usize, now: Millis) -> bool {
-        if runners > self.runners {
-            self.runners = runners;
-            self.grown = now;
+        if runners > self.max_runners {
+            self.max_runners = runners;
+            self.grown_at = now;
         }
-        now >= self.grown + SETTLED
+        now >= self.grown_at + SETTLE_TIME
     }
 
     /// A runner refused an order that no repeat makes it take.
-    pub fn note_refused(&mut self, runner: &id::Runner, order: &Order) {
+    pub fn record_refused(&mut self, runner: &id::Runner, order: &Order) {
         match order {
             Order::Join(group, epoch, ..) => {
-                self.refused.insert((group.clone(), *epoch));
+                self.refused_joins.insert((group.clone(), *epoch));
             }
             Order::Stage(_) => {
-                self.staged.remove(runner);
+                self.staging.remove(runner);
             }
             Order::Open(..) | Order::Close(..) | Order::Leave(..) => {}
         }
--- a/crates/fleet/src/order.rs
+++ b/crates/fleet/src/order.rs
@@ -6,11 +6,11 @@
 
 /// An order that was not answered is given again after this long. Runners
 /// answer within milliseconds; an answer that is lost never comes.
-pub const REPEAT: Millis = Millis(1500);
+pub const REPEAT_INTERVAL: Millis = Millis(1500);
 
 /// An order that was answered, but shows no effect, is given again after this
 /// long: well beyond the way from the runner over the store to here.
-pub const REPEAT_TAKEN: Millis = Millis(5000);
+pub const REPEAT_ACKNOWLEDGED_INTERVAL: Millis = Millis(5000);
 
 /// What a runner is told.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
--- a/crates/fleet/src/orders.rs
+++ b/crates/fleet/src/orders.rs
@@ -11,7 +11,7 @@
 
 /// A head that has no entry and is closed is given this long to finish what it
 /// has: most streams take less. Its entry would say when it has.
-pub const FINISH: Millis = Millis(1500);
+pub const UNSEEN_HEAD_GRACE: Millis = Millis(1500);
 
 /// Lists the orders to give now in one domain.
 pub(crate) fn list_orders(snapshot: &Snapshot, draft: &Draft, issuer: &mut Issuer) {
@@ -31,12 +31,12 @@
         if phase.is_none() {
             let members = group.members.clone();
             let join = Order::Join(group.name.clone(), group.epoch, group.model.clone(), members);
-            issuer.give(&runner.id, join);
+            issuer.issue(&runner.id, join);
         }
     }
     let whole = runners.len() == group.members.len();
     if whole && phases.iter().all(|phase| *phase == Some(Phase::Ready)) {
-        issuer.give(&runners[0].id, Order::Open(group.name.clone(), group.epoch));
+        issuer.issue(&runners[0].id, Order::Open(group.name.clone(), group.epoch));
     }
 }
 
@@ -48,12 +48,12 @@
     };
     match find_phase(head, group) {
         Some(Phase::Open) if group.state == State::Closing => {
-            issuer.give(&head.id, Order::Close(group.name.clone(), group.epoch))
+            issuer.issue(&head.id, Order::Close(group.name.clone(), group.epoch))
         }
         Some(Phase::Closing) if group.state == State::Closing => {}
-        Some(_) => issuer.give(&head.id, leave),
-        None if !issuer.memory.taken.contains(&(head.id.clone(), leave.clone())) => {
-            issuer.give(&head.id, leave)
+        Some(_) => issuer.issue(&head.id, leave),
+        None if !issuer.memory.acknowledged.contains(&(head.id.clone(), leave.clone())) => {
+            issuer.issue(&head.id, leave)
         }
         None => {}
     }
@@ -68,19 +68,19 @@
         group.head().filter(|head| matches!(snapshot.probes.health(head), Health::Responsive | Health::Slow));
     if let Some(head) = head {
         let close = Order::Close(group.name.clone(), group.epoch);
-        let finished = group.state == State::Lost || issuer.has_passed(head, &close, FINISH);
-        return issuer.give(head, if finished { leave } else { close });
+        let finished = group.state == State::Lost || issuer.has_waited(head, &close, UNSEEN_HEAD_GRACE);
+        return issuer.issue(head, if finished { leave } else { close });
     }
     let forgotten = group.members.iter().all(|id| snapshot.roster.recall(id).is_none());
     if forgotten {
-        issuer.memory.halted.entry((group.name.clone(), group.epoch)).or_insert(issuer.now);
+        issuer.memory.stalled_since.entry((group.name.clone(), group.epoch)).or_insert(issuer.now);
     }
     for runner in living {
         match find_phase(runner, group) {
-            Some(_) => issuer.give(&runner.id, leave.clone()),
+            Some(_) => issuer.issue(&runner.id, leave.clone()),
             None => {
                 let now = issuer.now;
-                issuer.memory.halted.entry((group.name.clone(), group.epoch)).or_insert(now);
+                issuer.memory.stalled_since.entry((group.name.clone(), group.epoch)).or_insert(now);
             }
         }
     }
@@ -94,7 +94,7 @@
         let wanted =
             draft.plan.groups.iter().any(|group| !group.is_retired() && group.members.contains(&runner.id));
         if !planned && !wanted {
-            issuer.give(&runner.id, Order::Leave(membership.group.clone(), membership.epoch));
+            issuer.issue(&runner.id, Order::Leave(membership.group.clone(), membership.epoch));
         }
     }
 }
--- a/crates/fleet/src/plan.rs
+++ b/crates/fleet/src/plan.rs
@@ -25,13 +25,13 @@
     /// What is meant to become of it.
     pub state: State,
     /// Whether it is given up and a member is known to be away, so that it stands still.
-    #[serde(default)]
-    pub still: bool,
+    #[serde(default, rename = "still")]
+    pub stalled: bool,
     /// The lives of its members by rank, as they were known when it was planned: a member
     /// that has started again is in no group, though its id is the same. Nodes that
     /// knew no lives wrote none.
-    #[serde(default)]
-    pub lives: Vec<Option<Life>>,
+    #[serde(default, rename = "lives")]
+    pub incarnations: Vec<Option<Life>>,
 }
 
 /// What is meant to become of a group.
@@ -53,9 +53,9 @@
     }
 
     /// The life in which a member was planned, where that was known.
-    pub fn find_life(&self, member: &id::Runner) -> Option<Life> {
+    pub fn find_incarnation(&self, member: &id::Runner) -> Option<Life> {
         let rank = self.members.iter().position(|id| id == member)?;
-        *self.lives.get(rank)?
+        *self.incarnations.get(rank)?
     }
 
     /// The member that takes the requests.
@@ -68,7 +68,8 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Document {
     /// The highest epoch ever given out here.
-    pub top: Epoch,
+    #[serde(rename = "top")]
+    pub last_epoch: Epoch,
     /// The groups.
     pub groups: Vec<Group>,
     /// How often it was written: of two, the later one has more, also where the store has come
@@ -99,7 +100,7 @@
             if group.members.is_empty() {
                 return Err(PlanError::Empty(group.name.clone()));
             }
-            if group.epoch > self.top {
+            if group.epoch > self.last_epoch {
                 return Err(PlanError::Epoch(group.name.clone()));
             }
             if let Some(twice) = group.members.iter().find(|member| !seen.insert(*member)) {
--- a/crates/fleet/src/preempt.rs
+++ b/crates/fleet/src/preempt.rs
@@ -12,55 +12,58 @@
 
 use crate::plan::{Group, State};
 use crate::reserve::Risk;
-use crate::snapshot::{Draft, Snapshot, time_join};
+use crate::snapshot::{Draft, Snapshot, find_join_time};
 use crate::targets::{count_active, list_targets};
 
 /// Closes small groups whose members complete a large one, as long as the large model
 /// has the smaller part of what it is meant to have.
 pub(crate) fn preempt_groups(snapshot: &Snapshot, models: &[Model], risk: &Risk, drafts: &mut [Draft]) {
     let Some(large) = models.iter().max_by_key(|model| model.size) else { return };
-    let wanted = list_targets(models, drafts, risk);
-    let mut alive = count_active(models, drafts);
+    let targets = list_targets(models, drafts, risk);
+    let mut active = count_active(models, drafts);
     for at in 0..drafts.len() {
-        let parts: Vec<(&Model, usize, f64)> = models
+        let rows: Vec<(&Model, usize, f64)> = models
             .iter()
-            .zip(&alive)
-            .zip(&wanted)
-            .map(|((model, alive), wanted)| (model, *alive, *wanted))
+            .zip(&active)
+            .zip(&targets)
+            .map(|((model, active), target)| (model, *active, *target))
             .collect();
-        let part = |model: &Model, less: usize| {
-            let row = parts.iter().find(|(known, ..)| known.name == model.name);
-            row.map_or(0.0, |(_, alive, wanted)| alive.saturating_sub(less) as f64 / wanted)
+        let find_fulfillment = |model: &Model, removed: usize| {
+            let row = rows.iter().find(|(known, ..)| known.name == model.name);
+            row.map_or(0.0, |(_, active, target)| active.saturating_sub(removed) as f64 / target)
         };
-        if part(large, 0) >= 1.0 {
+        if find_fulfillment(large, 0) >= 1.0 {
             return;
         }
-        let is_lower = |model: &&Model| model.size < large.size && part(large, 0) < part(model, 1);
-        let lower: Vec<&Model> = models.iter().filter(is_lower).collect();
-        if close_victims(snapshot, &mut drafts[at], large, &lower) {
-            alive = count_active(models, drafts);
+        let is_donor = |model: &&Model| {
+            model.size < large.size && find_fulfillment(large, 0) < find_fulfillment(model, 1)
+        };
+        let donors: Vec<&Model> = models.iter().filter(is_donor).collect();
+        if close_victims(snapshot, &mut drafts[at], large, &donors) {
+            active = count_active(models, drafts);
         }
     }
 }
 
 /// Closes groups of `lower` in a domain that lacks few runners for a group of `large`,
 /// if their members complete it. Returns whether it closed one.
-fn close_victims(snapshot: &Snapshot, draft: &mut Draft, large: &Model, lower: &[&Model]) -> bool {
-    let free = draft.list_free().into_iter().filter(|runner| time_join(runner, large) < large.load).count();
+fn close_victims(snapshot: &Snapshot, draft: &mut Draft, large: &Model, donors: &[&Model]) -> bool {
+    let free =
+        draft.list_free().into_iter().filter(|runner| find_join_time(runner, large) < large.load).count();
     let retired = draft.plan.groups.iter().filter(|group| group.is_retired());
-    let coming: usize = retired.map(|group| count_holders(snapshot, group, large)).sum();
+    let returning: usize = retired.map(|group| count_holders(snapshot, group, large)).sum();
     // Most of the group must be there: what is closed takes requests at present.
-    if 2 * free < large.size || free + coming >= large.size {
+    if 2 * free < large.size || free + returning >= large.size {
         return false;
     }
     // Those of a group that is over are told to leave it and are free in a moment. Where they
     // complete the large one, no group is closed for it; where not, they do not change which is.
-    let released = draft.list_released().filter(|runner| time_join(runner, large) < large.load).count();
-    if free + coming + released >= large.size {
+    let released = draft.list_released().filter(|runner| find_join_time(runner, large) < large.load).count();
+    if free + returning + released >= large.size {
         return false;
     }
-    let missing = large.size - free - coming;
-    let Some(victims) = find_victims(snapshot, draft, large, lower, missing) else { return false };
+    let missing = large.size - free - returning;
+    let Some(victims) = find_victims(snapshot, draft, large, donors, missing) else { return false };
     for name in victims {
         let Some(victim) = draft.plan.groups.iter_mut().find(|group| group.name == name) else { continue };
         victim.state = State::Closing;
@@ -80,13 +83,13 @@
     snapshot: &Snapshot,
     draft: &Draft,
     large: &Model,
-    lower: &[&Model],
+    donors: &[&Model],
     missing: usize,
 ) -> Option<Vec<id::Group>> {
     let serving = draft.plan.groups.iter().filter(|group| !group.is_retired());
-    let below = serving.filter(|group| lower.iter().any(|model| model.name == group.model));
+    let candidates = serving.filter(|group| donors.iter().any(|model| model.name == group.model));
     let mut rows: Vec<(usize, &Group)> =
-        below.map(|group| (count_holders(snapshot, group, large), group)).collect();
+        candidates.map(|group| (count_holders(snapshot, group, large), group)).collect();
     rows.sort_by_key(|(holders, _)| std::cmp::Reverse(*holders));
     let (mut found, mut closed, mut victims) = (0, 0, Vec::new());
     for (holders, group) in rows {
@@ -103,6 +106,6 @@
 /// The members of a group that can join one of `model` without a load.
 fn count_holders(snapshot: &Snapshot, group: &Group, model: &Model) -> usize {
     let holds =
-        |id: &&id::Runner| snapshot.find(id).is_some_and(|runner| time_join(runner, model) < model.load);
+        |id: &&id::Runner| snapshot.find(id).is_some_and(|runner| find_join_time(runner, model) < model.load);
     group.members.iter().filter(holds).count()
 }
--- a/crates/fleet/src/preload.rs
+++ b/crates/fleet/src/preload.rs
@@ -16,14 +16,17 @@
 ///
 /// `top` is the highest epoch given out: whatever group a runner is planned for later
 /// has a higher one, so this order does no harm when it is carried out late.
-pub(crate) fn order_preloads(models: &[Model], drafts: &[Draft], top: Epoch, issuer: &mut Issuer) {
+pub(crate) fn order_preloads(models: &[Model], drafts: &[Draft], last_epoch: Epoch, issuer: &mut Issuer) {
     for runner in drafts.iter().flat_map(Draft::list_free) {
         let fresh = runner.served.is_none() && runner.membership.is_none();
         let Some(model) = models.iter().find(|model| runner.staged.contains(&model.name)) else { continue };
         let replaced = issuer.last_staged(runner).is_some_and(|asked| *asked != model.name);
         if fresh && !replaced {
             let members = vec![runner.id.clone()];
-            issuer.give(&runner.id, Order::Join(name_solo(&runner.id), top, model.name.clone(), members));
+            issuer.issue(
+                &runner.id,
+                Order::Join(name_solo(&runner.id), last_epoch, model.name.clone(), members),
+            );
         }
     }
 }
--- a/crates/fleet/src/probe.rs
+++ b/crates/fleet/src/probe.rs
@@ -8,17 +8,17 @@
 use crate::runner::{Life, is_later};
 
 /// Questions in a row without an answer after which a runner counts as silent.
-pub const MISSES: u32 = 2;
+pub const MIN_MISSES: u32 = 2;
 
 /// Where more than this part of a data hall is silent at once, the way there is
 /// taken to be cut, and nothing is concluded. A fabric domain, half of a hall of
 /// today, can go dark as a whole.
-pub const CUT: f64 = 0.7;
+pub const CUT_HALL_RATIO: f64 = 0.7;
 
 /// A runner that works this many times slower than usual is slow. A group runs at
 /// the pace of its slowest member; at twice its time per token, pauses between
 /// events come near what still counts as in time.
-pub const SLOW: f64 = 2.0;
+pub const SLOW_FACTOR: f64 = 2.0;
 
 /// What a question to a runner brought.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -41,7 +41,7 @@
     /// What it said, to the last question of the round.
     pub reported: Observation,
     /// In which life it answered, where it said so.
-    pub life: Option<Life>,
+    pub incarnation: Option<Life>,
     /// How many questions were put to it.
     pub asked: u32,
 }
@@ -70,7 +70,7 @@
     /// Whether another runner has answered at its address.
     gone: bool,
     /// The life in which it answered last.
-    life: Option<Life>,
+    incarnation: Option<Life>,
 }
 
 /// What rounds of questions have shown so far.
@@ -85,8 +85,8 @@
     /// What is known of a runner.
     pub fn health(&self, runner: &id::Runner) -> Health {
         match self.records.get(runner) {
-            Some(record) if record.asked >= MISSES && !self.cut.contains(&record.hall) => {
-                match (record.misses >= MISSES, record.slow >= MISSES) {
+            Some(record) if record.asked >= MIN_MISSES && !self.cut.contains(&record.hall) => {
+                match (record.misses >= MIN_MISSES, record.slow >= MIN_MISSES) {
                     (true, _) => Health::Silent,
                     (false, true) => Health::Slow,
                     (false, false) => Health::Responsive,
@@ -120,22 +120,22 @@
     /// has not been asked often enough.
     pub fn is_pending(&self, runner: &id::Runner) -> bool {
         match self.records.get(runner) {
-            Some(record) => record.asked < MISSES || self.cut.contains(&record.hall),
-            None => self.rounds < MISSES,
+            Some(record) => record.asked < MIN_MISSES || self.cut.contains(&record.hall),
+            None => self.rounds < MIN_MISSES,
         }
     }
 
     /// Takes a round in, and forgets runners that were not asked in it. Returns
     /// those that have just become silent.
-    pub fn take(&mut self, round: &[Answer]) -> Vec<id::Runner> {
-        let silent: HashSet<id::Runner> =
+    pub fn record_round(&mut self, round: &[Answer]) -> Vec<id::Runner> {
+        let silent_before: HashSet<id::Runner> =
             self.records.keys().filter(|runner| self.is_silent(runner)).cloned().collect();
         let records = round.iter().map(|answer| {
-            let before = self.records.get(&answer.runner);
+            let previous = self.records.get(&answer.runner);
             // What was seen of a former life says nothing of this one.
-            let before = before.filter(|record| !is_later(answer.life, record.life));
-            let (misses, slow) = before.map_or((0, 0), |record| (record.misses, record.slow));
-            let gone = before.is_some_and(|record| record.gone) || answer.reported == Observation::Gone;
+            let previous = previous.filter(|record| !is_later(answer.incarnation, record.incarnation));
+            let (misses, slow) = previous.map_or((0, 0), |record| (record.misses, record.slow));
+            let gone = previous.is_some_and(|record| record.gone) || answer.reported == Observation::Gone;
             let record = Record {
                 hall: answer.hall.clone(),
                 misses: if matches!(answer.reported, Observation::Pace(_)) {
@@ -143,22 +143,23 @@
                 } else {
                     misses + answer.asked
                 },
-                asked: before.map_or(0, |record| record.asked) + answer.asked,
+                asked: previous.map_or(0, |record| record.asked) + answer.asked,
                 slow: match answer.reported {
-                    Observation::Pace(pace) if pace >= SLOW => slow + 1,
+                    Observation::Pace(pace) if pace >= SLOW_FACTOR => slow + 1,
                     Observation::Pace(_) => 0,
                     Observation::Silent | Observation::Gone => slow,
                 },
                 gone,
-                life: answer.life.or(before.and_then(|record| record.life)),
+                incarnation: answer.incarnation.or(previous.and_then(|record| record.incarnation)),
             };
             (answer.runner.clone(), record)
         });
         self.records = records.collect();
         self.rounds += 1;
         self.cut = find_cut_halls(round);
-        let fresh = self.records.keys().filter(|runner| self.is_silent(runner) && !silent.contains(*runner));
-        fresh.cloned().collect()
+        let newly_silent =
+            self.records.keys().filter(|runner| self.is_silent(runner) && !silent_before.contains(*runner));
+        newly_silent.cloned().collect()
     }
 }
 
@@ -169,6 +170,7 @@
         *asked += 1;
         *missed += usize::from(answer.reported == Observation::Silent);
     }
-    let cut = halls.into_iter().filter(|(_, (asked, missed))| *missed as f64 > CUT * *asked as f64);
+    let cut =
+        halls.into_iter().filter(|(_, (asked, missed))| *missed as f64 > CUT_HALL_RATIO * *asked as f64);
     cut.map(|(hall, _)| hall.clone()).collect()
 }
--- a/crates/fleet/src/snapshot.rs
+++ b/crates/fleet/src/snapshot.rs
@@ -34,7 +34,7 @@
     /// What all nodes have in flight at each group, if enough of them say so.
     pub in_flight: Option<&'a Counts>,
     /// Runners that have turned requests away for a while.
-    pub refusing: &'a BTreeSet<id::Runner>,
+    pub rejecting: &'a BTreeSet<id::Runner>,
     /// The time.
     pub now: Millis,
 }
@@ -47,7 +47,7 @@
 
     /// Whether a member of a group has started again since the group was planned.
     pub(crate) fn has_restarted(&self, group: &Group, member: &id::Runner) -> bool {
-        let planned = group.find_life(member);
+        let planned = group.find_incarnation(member);
         self.roster.recall(member).is_some_and(|runner| is_later(runner.life, planned))
     }
 
@@ -112,7 +112,7 @@
 }
 
 /// How long a runner needs until it holds `model`.
-pub(crate) fn time_join(runner: &Runner, model: &Model) -> Millis {
+pub(crate) fn find_join_time(runner: &Runner, model: &Model) -> Millis {
     if runner.has_served(&model.name) {
         Millis(0)
     } else if runner.staged.contains(&model.name) {
--- a/crates/fleet/src/staging.rs
+++ b/crates/fleet/src/staging.rs
@@ -13,12 +13,12 @@
 use crate::order::Order;
 use crate::reserve::Risk;
 use crate::runner::Runner;
-use crate::snapshot::{Draft, Snapshot, time_join};
+use crate::snapshot::{Draft, Snapshot, find_join_time};
 use crate::targets::Shortage;
 
 /// While callers are there, a model is put in reserve only where it spares at least this many
 /// runners from standing idle: each such load takes a place at the weight store that repairs need.
-const SPARED_LEAST: f64 = 0.01;
+const MIN_SPARED_RUNNERS: f64 = 0.01;
 
 /// Orders models onto hosts, in this order: the largest model onto members of small
 /// groups that complete what is left of a large one; whole sets for models that lack
@@ -47,35 +47,35 @@
         stage_spares(models, risk, shortages, draft, stock, issuer);
     }
     for stock in &mut stocks {
-        while let Some(runner) = stock.find_bare() {
-            let Some(model) = find_for_bare(models, risk, stock) else { return };
+        while let Some(runner) = stock.find_empty() {
+            let Some(model) = pick_for_empty(models, risk, stock) else { return };
             if !stage(model, runner, stock, issuer, Purpose::Reserve) {
                 return;
             }
         }
     }
-    let kept_free = if issuer.serving { risk.count_kept_free(engine) } else { 0 };
-    stage_seconds(snapshot, models, risk, drafts, kept_free, issuer);
+    let repair_headroom = if issuer.serving { risk.count_repair_headroom(engine) } else { 0 };
+    stage_second_models(snapshot, models, risk, drafts, repair_headroom, issuer);
 }
 
 /// What bare runners of a domain get: the smallest model of which they make a whole set
 /// beside the spare runners, for that serves wherever a group of it is lost; else what
 /// the domain would miss most.
-fn find_for_bare<'a>(models: &'a [Model], risk: &Risk, stock: &Stock) -> Option<&'a Model> {
-    let bare = stock.count_bare();
-    let fills = |model: &&Model| stock.held(model) + bare >= model.size + risk.count_spares(model);
+fn pick_for_empty<'a>(models: &'a [Model], risk: &Risk, stock: &Stock) -> Option<&'a Model> {
+    let empty = stock.count_empty();
+    let fills = |model: &&Model| stock.count_held(model) + empty >= model.size + risk.count_spares(model);
     let whole = models.iter().filter(fills).min_by_key(|model| model.size);
-    whole.or_else(|| find_scarcest(models, risk, |model| stock.held(model)))
+    whole.or_else(|| pick_scarcest(models, risk, |model| stock.count_held(model)))
 }
 
 /// The model of which one more runner that holds it spares most idle time.
-fn find_scarcest<'a>(
+fn pick_scarcest<'a>(
     models: impl IntoIterator<Item = &'a Model>,
     risk: &Risk,
     held: impl Fn(&Model) -> usize,
 ) -> Option<&'a Model> {
-    let weigh = |model: &Model| risk.weigh(model, held(model));
-    models.into_iter().max_by(|a, b| weigh(a).total_cmp(&weigh(b)))
+    let count_spared = |model: &Model| risk.count_spared_runners(model, held(model));
+    models.into_iter().max_by(|a, b| count_spared(a).total_cmp(&count_spared(b)))
 }
 
 /// Members of groups that serve, and those left of groups given up.
@@ -90,7 +90,7 @@
     let members = list_members(snapshot, draft).into_iter();
     let others = members.filter(|runner| runner.served.is_some() && !runner.has_served(&largest.name));
     for runner in others.take(wanted) {
-        let holds = time_join(runner, largest) < largest.load;
+        let holds = find_join_time(runner, largest) < largest.load;
         if holds || issuer.last_staged(runner) == Some(&largest.name) {
             continue;
         }
@@ -102,15 +102,15 @@
 
 /// Orders another model onto the hosts of runners that have served one, where it is
 /// missed most first. `kept_free` loads are left for whatever is lost next.
-fn stage_seconds(
+fn stage_second_models(
     snapshot: &Snapshot,
     models: &[Model],
     risk: &Risk,
     drafts: &[Draft],
-    kept_free: usize,
+    repair_headroom: usize,
     issuer: &mut Issuer,
 ) {
-    if issuer.reserves <= kept_free {
+    if issuer.reserve_loads <= repair_headroom {
         return;
     }
     let mut wanted: Vec<(f64, &Runner, &Model)> = Vec::new();
@@ -119,8 +119,8 @@
             list_members(snapshot, draft).into_iter().chain(draft.list_free()).collect();
         let holds = |runner: &Runner, model: &Model| {
             let staged = runner.staged.contains(&model.name);
-            let asked = issuer.last_staged(runner) == Some(&model.name);
-            (staged || asked) && !runner.has_served(&model.name)
+            let ordered_model = issuer.last_staged(runner) == Some(&model.name);
+            (staged || ordered_model) && !runner.has_served(&model.name)
         };
         let count = |model: &Model| runners.iter().filter(|runner| holds(runner, model)).count();
         let mut held: Vec<usize> = models.iter().map(count).collect();
@@ -129,16 +129,19 @@
                 continue;
             }
             let others = models.iter().enumerate().filter(|(_, model)| !runner.has_served(&model.name));
-            let rows = others.map(|(at, model)| (risk.weigh(model, held[at]), at));
-            let Some((worth, at)) = rows.max_by(|a, b| a.0.total_cmp(&b.0)) else { continue };
+            let rows = others.map(|(at, model)| (risk.count_spared_runners(model, held[at]), at));
+            let Some((spared, at)) = rows.max_by(|a, b| a.0.total_cmp(&b.0)) else { continue };
             held[at] += 1;
-            wanted.push((worth, runner, &models[at]));
+            wanted.push((spared, runner, &models[at]));
         }
     }
     wanted.sort_by(|a, b| b.0.total_cmp(&a.0));
-    for (worth, runner, model) in wanted {
-        let idle = issuer.serving && worth < SPARED_LEAST;
-        if idle || issuer.reserves <= kept_free || !order_load(model, runner, issuer, Purpose::Reserve) {
+    for (spared, runner, model) in wanted {
+        let idle = issuer.serving && spared < MIN_SPARED_RUNNERS;
+        if idle
+            || issuer.reserve_loads <= repair_headroom
+            || !order_load(model, runner, issuer, Purpose::Reserve)
+        {
             return;
         }
     }
@@ -146,7 +149,7 @@
 
 /// How many members of small groups what is left of a large one needs.
 fn count_missing(largest: &Model, stock: &Stock) -> usize {
-    let held = stock.held(largest);
+    let held = stock.count_held(largest);
     if 2 * held >= largest.size { largest.size.saturating_sub(held) } else { 0 }
 }
 
@@ -154,10 +157,10 @@
     let model = shortage.model;
     let mut missing = shortage.groups;
     let mut order: Vec<usize> = (0..stocks.len()).collect();
-    order.sort_by_key(|at| model.size.saturating_sub(stocks[*at].held(model)));
+    order.sort_by_key(|at| model.size.saturating_sub(stocks[*at].count_held(model)));
     for at in order {
         let stock = &mut stocks[at];
-        let short = model.size.saturating_sub(stock.held(model));
+        let short = model.size.saturating_sub(stock.count_held(model));
         let candidates = stock.list_others(model);
         if missing == 0 || candidates.len() < short {
             continue;
@@ -184,10 +187,10 @@
     by_size.sort_by_key(|model| std::cmp::Reverse(model.size));
     for model in by_size {
         let served = draft.plan.groups.iter().any(|group| group.model == model.name);
-        if !served || stock.held(model) >= risk.count_spares(model) {
+        if !served || stock.count_held(model) >= risk.count_spares(model) {
             continue;
         }
-        let spare = stock.find_bare().or_else(|| stock.find_surplus(model, models, shortages));
+        let spare = stock.find_empty().or_else(|| stock.find_surplus(model, models, shortages));
         if let Some(runner) = spare {
             stage(model, runner, stock, issuer, Purpose::Reserve);
         }
@@ -198,23 +201,23 @@
 fn stage(model: &Model, runner: &Runner, stock: &mut Stock, issuer: &mut Issuer, purpose: Purpose) -> bool {
     let ordered = order_load(model, runner, issuer, purpose);
     if ordered {
-        stock.note(runner, model);
+        stock.record_staging(runner, model);
     }
     ordered
 }
 
 fn order_load(model: &Model, runner: &Runner, issuer: &mut Issuer, purpose: Purpose) -> bool {
-    let left = match purpose {
-        Purpose::Repair => issuer.repairs,
-        Purpose::Reserve => issuer.reserves,
+    let allowed = match purpose {
+        Purpose::Repair => issuer.repair_loads,
+        Purpose::Reserve => issuer.reserve_loads,
     };
-    if left == 0 {
+    if allowed == 0 {
         return false;
     }
-    issuer.repairs = issuer.repairs.saturating_sub(1);
-    issuer.reserves = issuer.reserves.saturating_sub(1);
-    issuer.memory.note_staging(runner, model, issuer.now, issuer.serving, purpose);
-    issuer.give(&runner.id, Order::Stage(model.name.clone()));
+    issuer.repair_loads = issuer.repair_loads.saturating_sub(1);
+    issuer.reserve_loads = issuer.reserve_loads.saturating_sub(1);
+    issuer.memory.record_staging(runner, model, issuer.now, issuer.serving, purpose);
+    issuer.issue(&runner.id, Order::Stage(model.name.clone()));
     true
 }
 
@@ -243,36 +246,36 @@
 impl<'a> Stock<'a> {
     fn count(snapshot: &Snapshot<'a>, models: &[Model], draft: &Draft<'a>, issuer: &Issuer) -> Stock<'a> {
         let rows = draft.list_free().into_iter().map(|runner| {
-            let asked = models.iter().find(|model| issuer.last_staged(runner) == Some(&model.name));
-            let staging = asked.is_some_and(|model| time_join(runner, model) >= model.load);
+            let ordered_model = models.iter().find(|model| issuer.last_staged(runner) == Some(&model.name));
+            let staging = ordered_model.is_some_and(|model| find_join_time(runner, model) >= model.load);
             // What is on the host gives way to what is asked for.
-            let holds = |model: &&Model| match asked {
-                Some(asked) => model.name == asked.name || runner.has_served(&model.name),
-                None => time_join(runner, model) < model.load,
+            let holds = |model: &&Model| match ordered_model {
+                Some(ordered_model) => model.name == ordered_model.name || runner.has_served(&model.name),
+                None => find_join_time(runner, model) < model.load,
             };
             let held = models.iter().filter(holds).map(|model| model.name.clone()).collect();
             Row { runner, held, staging }
         });
         let rows = rows.collect();
-        let given_up = draft.plan.groups.iter().filter(|group| group.is_retired());
-        let returning = given_up.flat_map(|group| {
+        let retired = draft.plan.groups.iter().filter(|group| group.is_retired());
+        let returning = retired.flat_map(|group| {
             let living = group.members.iter().filter(|id| snapshot.find(id).is_some());
             living.map(|_| group.model.clone())
         });
         Stock { rows, returning: returning.collect() }
     }
 
-    fn held(&self, model: &Model) -> usize {
+    fn count_held(&self, model: &Model) -> usize {
         let here = self.rows.iter().filter(|row| row.holds(model));
         let soon = self.returning.iter().filter(|returning| **returning == model.name);
         here.count() + soon.count()
     }
 
-    fn count_bare(&self) -> usize {
+    fn count_empty(&self) -> usize {
         self.rows.iter().filter(|row| row.held.is_empty()).count()
     }
 
-    fn find_bare(&self) -> Option<&'a Runner> {
+    fn find_empty(&self) -> Option<&'a Runner> {
         self.rows.iter().find(|row| row.held.is_empty()).map(|row| row.runner)
     }
 
@@ -281,8 +284,8 @@
     fn find_surplus(&self, model: &Model, models: &[Model], shortages: &[Shortage]) -> Option<&'a Runner> {
         let lacks = |other: &Model| shortages.iter().any(|shortage| shortage.model.name == other.name);
         let mut others = models.iter().filter(|other| other.name != model.name && !lacks(other));
-        let rich = others.find(|other| self.held(other) > 1)?;
-        let mut rows = self.rows.iter().filter(|row| row.holds(rich) && !row.holds(model));
+        let surplus = others.find(|other| self.count_held(other) > 1)?;
+        let mut rows = self.rows.iter().filter(|row| row.holds(surplus) && !row.holds(model));
         rows.find(|row| !row.staging).map(|row| row.runner)
     }
 
@@ -305,7 +308,7 @@
         }
     }
 
-    fn note(&mut self, runner: &Runner, model: &Model) {
+    fn record_staging(&mut self, runner: &Runner, model: &Model) {
         if let Some(row) = self.rows.iter_mut().find(|row| row.runner.id == runner.id) {
             row.held.retain(|held| runner.has_served(held));
             row.held.push(model.name.clone());
--- a/crates/fleet/src/stall.rs
+++ b/crates/fleet/src/stall.rs
@@ -18,12 +18,12 @@
 
 impl Stalls {
     /// The plans are these at `now`.
-    pub fn note(&mut self, plans: &Plans, now: Millis) {
-        let groups = plans.values().flat_map(|plan| &plan.groups).filter(|group| group.still);
-        let still: HashSet<(id::Group, Epoch)> =
+    pub fn update(&mut self, plans: &Plans, now: Millis) {
+        let groups = plans.values().flat_map(|plan| &plan.groups).filter(|group| group.stalled);
+        let stalled: HashSet<(id::Group, Epoch)> =
             groups.map(|group| (group.name.clone(), group.epoch)).collect();
-        self.0.retain(|key, _| still.contains(key));
-        for key in still {
+        self.0.retain(|key, _| stalled.contains(key));
+        for key in stalled {
             self.0.entry(key).or_insert(now);
         }
     }
--- a/crates/fleet/tests/belief.rs
+++ b/crates/fleet/tests/belief.rs
@@ -8,7 +8,7 @@
 use cottoncrank_fleet::freshness::{DEAF, Freshness, MARGIN};
 use cottoncrank_fleet::limit::Limit;
 use cottoncrank_fleet::plan::{Document, Group, Plans, State};
-use cottoncrank_fleet::probe::{Answer, Health, Observation, Probes, SLOW};
+use cottoncrank_fleet::probe::{Answer, Health, Observation, Probes, SLOW_FACTOR};
 use cottoncrank_fleet::roster::{RETURN, Roster};
 use cottoncrank_fleet::runner::{Epoch, Membership, Phase, Runner};
 
@@ -39,10 +39,10 @@
         model: "large".parse().unwrap(),
         members: vec!["r0".parse().unwrap(), "r1".parse().unwrap()],
         state,
-        still: false,
-        lives: Vec::new(),
+        stalled: false,
+        incarnations: Vec::new(),
     };
-    Plans::from([("d0".parse().unwrap(), Document { top: Epoch(1), groups: vec![group], version: 1 })])
+    Plans::from([("d0".parse().unwrap(), Document { last_epoch: Epoch(1), groups: vec![group], version: 1 })])
 }
 
 fn heads(roster: &Roster, plans: &Plans) -> usize {
@@ -141,7 +141,7 @@
         runner: format!("{hall}-{number}").parse().unwrap(),
         hall: hall.parse().unwrap(),
         reported: if silent.contains(&number) { Observation::Silent } else { Observation::Pace(1.0) },
-        life: None,
+        incarnation: None,
         asked: 1,
     };
     (0..of).map(answer).collect()
@@ -154,24 +154,24 @@
 #[test]
 fn a_runner_is_silent_after_two_misses_and_until_it_answers() {
     let mut probes = Probes::default();
-    assert!(probes.take(&answers(&[3], 10, "a")).is_empty());
+    assert!(probes.record_round(&answers(&[3], 10, "a")).is_empty());
     assert_eq!(sign(&probes, "a-3"), Health::Unknown);
-    assert_eq!(probes.take(&answers(&[3], 10, "a")).len(), 1);
+    assert_eq!(probes.record_round(&answers(&[3], 10, "a")).len(), 1);
     assert_eq!((sign(&probes, "a-3"), sign(&probes, "a-4")), (Health::Silent, Health::Responsive));
-    assert!(probes.take(&answers(&[3], 10, "a")).is_empty(), "it is told once");
-    probes.take(&answers(&[], 10, "a"));
+    assert!(probes.record_round(&answers(&[3], 10, "a")).is_empty(), "it is told once");
+    probes.record_round(&answers(&[], 10, "a"));
     assert_eq!(sign(&probes, "a-3"), Health::Responsive);
-    probes.take(&answers(&[], 3, "a"));
+    probes.record_round(&answers(&[], 3, "a"));
     assert_eq!(sign(&probes, "a-3"), Health::Unknown, "it was not asked any more");
 }
 
 #[test]
 fn a_runner_that_was_asked_twice_in_a_round_is_silent_after_it() {
     let mut probes = Probes::default();
-    probes.take(&answers(&[], 4, "a"));
+    probes.record_round(&answers(&[], 4, "a"));
     let mut round = answers(&[1], 4, "a");
     round[1].asked = 2;
-    let fresh = probes.take(&round);
+    let fresh = probes.record_round(&round);
     assert_eq!(fresh, ["a-1".parse().unwrap()]);
     assert_eq!(sign(&probes, "a-1"), Health::Silent);
     assert_eq!(sign(&probes, "a-0"), Health::Responsive);
@@ -181,11 +181,11 @@
 fn a_runner_is_slow_after_two_slow_answers() {
     let mut probes = Probes::default();
     let slow = |pace: f64| Answer { reported: Observation::Pace(pace), ..answers(&[], 1, "a").remove(0) };
-    probes.take(&[slow(SLOW)]);
-    probes.take(&[slow(SLOW)]);
+    probes.record_round(&[slow(SLOW_FACTOR)]);
+    probes.record_round(&[slow(SLOW_FACTOR)]);
     assert_eq!(sign(&probes, "a-0"), Health::Slow);
     assert_eq!(probes.list_slow().len(), 1);
-    probes.take(&[slow(1.0)]);
+    probes.record_round(&[slow(1.0)]);
     assert_eq!(sign(&probes, "a-0"), Health::Responsive);
 }
 
@@ -194,12 +194,12 @@
     let mut probes = Probes::default();
     let all: Vec<usize> = (0..10).collect();
     for _ in 0..3 {
-        assert!(probes.take(&answers(&all[..8], 10, "a")).is_empty());
+        assert!(probes.record_round(&answers(&all[..8], 10, "a")).is_empty());
     }
     assert_eq!(sign(&probes, "a-0"), Health::Unknown);
     assert!(probes.is_pending(&"a-9".parse().unwrap()));
     for _ in 0..3 {
-        probes.take(&answers(&all[..5], 10, "a"));
+        probes.record_round(&answers(&all[..5], 10, "a"));
     }
     assert_eq!((sign(&probes, "a-0"), sign(&probes, "a-5")), (Health::Silent, Health::Responsive));
 }
--- a/crates/fleet/tests/demand.rs
+++ b/crates/fleet/tests/demand.rs
@@ -71,7 +71,7 @@
     let mut now = Millis(1_000_000);
     let mut note = |demand: &mut Demand, seconds: u64, large: f64, small: f64| {
         for _ in 0..4 * seconds {
-            demand.note([(name("large"), large), (name("small"), small)], now);
+            demand.record([(name("large"), large), (name("small"), small)], now);
             now = now + Millis(250);
         }
     };
@@ -91,7 +91,7 @@
     let mut demand = Demand::default();
     for at in 0..80 {
         let used = [(name("large"), 0.1), (name("small"), 0.8)];
-        demand.note(used, Millis(1_000_000 + 250 * at));
+        demand.record(used, Millis(1_000_000 + 250 * at));
     }
     let parts = demand.list_shares(&models());
     assert_eq!(parts[0].to_string(), "large gets 0.25 of the runners, published 0.50, slots in use 0.10");
--- a/crates/fleet/tests/instant/mod.rs
+++ b/crates/fleet/tests/instant/mod.rs
@@ -120,17 +120,17 @@
                 (false, true) => Observation::Pace(12.0),
                 (false, false) => Observation::Pace(1.0),
             },
-            life: self.told.get(runner).copied(),
+            incarnation: self.told.get(runner).copied(),
             asked: 1,
         };
         let round: Vec<Answer> = members.iter().map(answer).collect();
         for answer in &round {
-            if let Some(life) = answer.life {
+            if let Some(life) = answer.incarnation {
                 self.roster.note_life(&answer.runner, life);
             }
         }
-        self.probes.take(&round);
-        self.probes.take(&round);
+        self.probes.record_round(&round);
+        self.probes.record_round(&round);
     }
 
     pub fn step(&mut self) -> Step {
@@ -144,7 +144,7 @@
             ceiling: &CEILING,
             stall: STALL,
             in_flight: self.in_flight.as_ref(),
-            refusing: &self.refusing,
+            rejecting: &self.refusing,
             now: self.now,
         };
         let step = step(&scene, &mut self.memory);
@@ -178,7 +178,12 @@
                 Order::Stage(model) => runner.staged = vec![model.clone()],
             }
             self.roster.put(runner);
-            self.memory.note_taken(id, self.roster.get(id).and_then(|runner| runner.life), order, self.now);
+            self.memory.record_acknowledged(
+                id,
+                self.roster.get(id).and_then(|runner| runner.life),
+                order,
+                self.now,
+            );
         }
     }
 
--- a/crates/fleet/tests/lives.rs
+++ b/crates/fleet/tests/lives.rs
@@ -5,7 +5,7 @@
 
 use cottoncrank::{Millis, id};
 use cottoncrank_fleet::memory::Memory;
-use cottoncrank_fleet::order::{Order, REPEAT};
+use cottoncrank_fleet::order::{Order, REPEAT_INTERVAL};
 use cottoncrank_fleet::plan::Group;
 use cottoncrank_fleet::probe::{Health, Probes};
 use cottoncrank_fleet::roster::{Notice, Roster};
@@ -142,7 +142,7 @@
             let Order::Join(name, epoch, _, members) = &order else { panic!("{order:?}") };
             // All take the order, and one starts again before it is ready.
             for member in members {
-                world.memory.note_taken(member, Some(FIRST), &order, world.now);
+                world.memory.record_acknowledged(member, Some(FIRST), &order, world.now);
             }
             let member = members[rank.min(members.len() - 1)].clone();
             restart(&mut world, &member);
@@ -168,10 +168,10 @@
     let life = world.restart(&head);
     world.step();
     // The answer to an order comes late, from the life before.
-    world.memory.note_taken(&head, Some(FIRST), &leave, world.now);
-    let remembered = world.memory.count_remembered();
-    world.memory.note_taken(&head, Some(life), &leave, world.now);
-    assert!(world.memory.count_remembered() > remembered, "only that of the present life counts");
+    world.memory.record_acknowledged(&head, Some(FIRST), &leave, world.now);
+    let remembered = world.memory.count_entries();
+    world.memory.record_acknowledged(&head, Some(life), &leave, world.now);
+    assert!(world.memory.count_entries() > remembered, "only that of the present life counts");
 }
 
 #[test]
@@ -273,7 +273,7 @@
     let close = Order::Close(group.name.clone(), group.epoch);
     assert!(world.step().orders.contains(&(group.members[0].clone(), close.clone())));
     // The head has started again and refuses: it is in no group. Nothing else is known.
-    world.now = world.now + REPEAT;
+    world.now = world.now + REPEAT_INTERVAL;
     assert!(world.step().orders.contains(&(group.members[0].clone(), close)));
     world.restart_unwritten(&group.members[0]);
     world.run(1);
--- a/crates/fleet/tests/loss.rs
+++ b/crates/fleet/tests/loss.rs
@@ -8,8 +8,8 @@
 use cottoncrank_fleet::decide::Step;
 use cottoncrank_fleet::loss::STALL_MARGIN;
 use cottoncrank_fleet::memory::Memory;
-use cottoncrank_fleet::order::{Order, REPEAT};
-use cottoncrank_fleet::orders::FINISH;
+use cottoncrank_fleet::order::{Order, REPEAT_INTERVAL};
+use cottoncrank_fleet::orders::UNSEEN_HEAD_GRACE;
 use cottoncrank_fleet::plan::Group;
 use cottoncrank_fleet::probe::Probes;
 use cottoncrank_fleet::runner::{Membership, Phase};
@@ -112,13 +112,13 @@
     world.crash(&group.members[0]);
     world.run(2);
     let mut halts = Stalls::default();
-    halts.note(&world.plans, world.now);
+    halts.update(&world.plans, world.now);
     let read = world.now;
     // One decider after the other is stopped, each well before the group must have broken.
     for _ in 0..5 {
         world.memory = Memory::resume(&halts);
         world.run(4);
-        halts.note(&world.plans, world.now);
+        halts.update(&world.plans, world.now);
     }
     while world.now < read + STALL {
         let held = world.groups().any(|known| known.name == group.name && known.is_retired());
@@ -128,8 +128,8 @@
     world.now = read + STALL + STALL_MARGIN;
     world.run(1);
     assert!(!world.groups().any(|known| known.name == group.name), "its members are free");
-    halts.note(&world.plans, world.now);
-    assert_eq!(Memory::resume(&halts).count_remembered(), 0, "and nothing is remembered of it");
+    halts.update(&world.plans, world.now);
+    assert_eq!(Memory::resume(&halts).count_entries(), 0, "and nothing is remembered of it");
 }
 
 #[test]
@@ -155,7 +155,7 @@
     let mut world = World::new(1);
     let first = world.step();
     assert!(!first.orders.is_empty());
-    world.now = world.now + (REPEAT - Millis(1));
+    world.now = world.now + (REPEAT_INTERVAL - Millis(1));
     let joins = |step: &Step| {
         let joins = step.orders.iter().filter(|(_, order)| matches!(order, Order::Join(..)));
         joins.map(|(id, _)| id.clone()).collect::<HashSet<_>>()
@@ -222,11 +222,11 @@
     let step = world.step();
     let close = Order::Close(group.name.clone(), group.epoch);
     assert!(step.orders.contains(&(group.members[0].clone(), close)), "it finishes first: {:?}", step.orders);
-    world.now = world.now + FINISH;
+    world.now = world.now + UNSEEN_HEAD_GRACE;
     let step = world.step();
     let leave = Order::Leave(group.name.clone(), group.epoch);
     assert!(step.orders.contains(&(group.members[0].clone(), leave.clone())), "{:?}", step.orders);
-    world.memory.note_taken(&group.members[0], None, &leave, world.now);
+    world.memory.record_acknowledged(&group.members[0], None, &leave, world.now);
     world.now = world.now + Millis(200);
     world.step();
     assert!(!world.groups().any(|known| known.name == group.name));
@@ -278,10 +278,10 @@
         world.now = world.now + Millis(60_000);
         world.run(1);
         if turn == 20 {
-            early = world.memory.count_remembered();
+            early = world.memory.count_entries();
         }
     }
-    let late = world.memory.count_remembered();
+    let late = world.memory.count_entries();
     assert!(late <= early + early / 4, "it grows from {early} to {late}");
 }
 
--- a/crates/fleet/tests/staging.rs
+++ b/crates/fleet/tests/staging.rs
@@ -16,14 +16,14 @@
     let engine = service().engine.unwrap();
     let at = Millis(1_000_000);
     let most = engine.loads_at_once;
-    loads.begin(at, most, Millis(16_000), true, Purpose::Reserve);
+    loads.record_started(at, most, Millis(16_000), true, Purpose::Reserve);
     let later = at + CEILING.window;
-    let allowed = |purpose| loads.allowed(later, &engine, &CEILING, true, purpose);
+    let allowed = |purpose| loads.count_allowed(later, &engine, &CEILING, true, purpose);
     assert_eq!(allowed(Purpose::Reserve), 0, "no more than run at full speed");
     assert_eq!(allowed(Purpose::Repair), most, "a group that callers need does not wait for them");
-    loads.begin(later, most, Millis(16_000), true, Purpose::Repair);
+    loads.record_started(later, most, Millis(16_000), true, Purpose::Repair);
     let last = later + CEILING.window;
-    assert_eq!(loads.allowed(last, &engine, &CEILING, true, Purpose::Repair), 0);
+    assert_eq!(loads.count_allowed(last, &engine, &CEILING, true, Purpose::Repair), 0);
 }
 
 #[test]
--- a/crates/fleet/tests/world/mod.rs
+++ b/crates/fleet/tests/world/mod.rs
@@ -412,16 +412,16 @@
                 runner: id.clone(),
                 hall: self.actors[id].entry.hall.clone(),
                 reported: if self.actors[id].alive { Observation::Pace(1.0) } else { Observation::Silent },
-                life: self.actors[id].entry.life.filter(|_| self.actors[id].alive),
+                incarnation: self.actors[id].entry.life.filter(|_| self.actors[id].alive),
                 asked: if self.actors[id].alive { 1 } else { 2 },
             })
             .collect();
         for answer in &round {
-            if let Some(life) = answer.life {
+            if let Some(life) = answer.incarnation {
                 self.roster.note_life(&answer.runner, life);
             }
         }
-        self.probes.take(&round);
+        self.probes.record_round(&round);
     }
 
     fn decide(&mut self) {
@@ -429,7 +429,7 @@
         for (domain, document, _) in step.writes {
             self.plans.insert(domain, document);
         }
-        self.halts.note(&self.plans, self.now);
+        self.halts.update(&self.plans, self.now);
         for (id, order) in step.orders {
             if self.rng.random::<f64>() < self.late {
                 let at = self.now + Millis(self.rng.random_range(2000..12_000));
@@ -438,8 +438,8 @@
                 let life = self.roster.recall(&id).and_then(|runner| runner.life);
                 let taken = self.obey(&id, &order);
                 match taken {
-                    true => self.memory.note_taken(&id, life, &order, self.now),
-                    false => self.memory.note_refused(&id, &order),
+                    true => self.memory.record_acknowledged(&id, life, &order, self.now),
+                    false => self.memory.record_refused(&id, &order),
                 }
             }
         }
@@ -471,7 +471,7 @@
             ceiling: &CEILING,
             stall: STALL,
             in_flight: in_flight.as_ref(),
-            refusing: &BTreeSet::new(),
+            rejecting: &BTreeSet::new(),
             now: self.now,
         };
         step(&scene, &mut self.memory)
--- a/crates/node/src/decider.rs
+++ b/crates/node/src/decider.rs
@@ -350,7 +350,7 @@
                     ceiling: &bounds.ceiling,
                     stall: bounds.stall,
                     in_flight: in_flight.as_ref(),
-                    refusing: &refusing,
+                    rejecting: &refusing,
                     now: self.node.now(),
                 };
                 (step(&scene, &mut self.memory.lock()), census::count(&scene, engine))
@@ -471,14 +471,14 @@
             }
             let reply = order::give(&client, address, &runner, &order, ORDER).await;
             match reply {
-                Ok(Reply::Taken) => memory.lock().note_taken(&runner, life, &order, node.now()),
-                Ok(Reply::Outdated) => memory.lock().note_refused(&runner, &order),
+                Ok(Reply::Taken) => memory.lock().record_acknowledged(&runner, life, &order, node.now()),
+                Ok(Reply::Outdated) => memory.lock().record_refused(&runner, &order),
                 // It is in no such group, or is no more: as good as having left it.
                 Ok(Reply::Unfit | Reply::Gone) if matches!(order, Order::Leave(..)) => {
-                    memory.lock().note_taken(&runner, life, &order, node.now());
+                    memory.lock().record_acknowledged(&runner, life, &order, node.now());
                 }
                 Ok(Reply::Gone | Reply::Refused(_)) if matches!(order, Order::Stage(_)) => {
-                    memory.lock().note_refused(&runner, &order);
+                    memory.lock().record_refused(&runner, &order);
                 }
                 Ok(Reply::Unfit | Reply::Gone | Reply::Refused(_)) | Err(_) => {}
             }
--- a/crates/node/src/intake.rs
+++ b/crates/node/src/intake.rs
@@ -172,7 +172,7 @@
         Ok(Some((domain, document))) => {
             let mut plans = node.plans.lock();
             plans.insert(domain, document);
-            node.halts.lock().note(&plans, node.now());
+            node.halts.lock().update(&plans, node.now());
             drop(plans);
             node.plans_changed.send_modify(|version| *version += 1);
         }
--- a/crates/node/src/prober.rs
+++ b/crates/node/src/prober.rs
@@ -46,15 +46,15 @@
         figures::count_probes(round.iter().map(|(answer, _)| answer.asked as usize).sum());
         let mut answers = Vec::with_capacity(round.len());
         for (answer, leaving) in round {
-            if let Some(life) = answer.life {
+            if let Some(life) = answer.incarnation {
                 node.note_life(&answer.runner, life);
             }
             if leaving {
-                node.note_leaving(&answer.runner, answer.life);
+                node.note_leaving(&answer.runner, answer.incarnation);
             }
             answers.push(answer);
         }
-        let fresh = probes.lock().take(&answers);
+        let fresh = probes.lock().record_round(&answers);
         if !fresh.is_empty() {
             log::info!(
                 "decider: no answer from {}",
@@ -77,5 +77,5 @@
         probed = order::probe(&client, runner.address, &runner.id, PROBE).await;
     }
     let Probed { reported, life, leaving } = probed;
-    (Answer { runner: runner.id, hall: runner.hall, reported, life, asked }, leaving)
+    (Answer { runner: runner.id, hall: runner.hall, reported, incarnation: life, asked }, leaving)
 }
