--- a/crates/fleet/src/adopt.rs
+++ b/crates/fleet/src/adopt.rs
@@ -29,7 +29,7 @@
     roster: &'a Roster,
     plans: &Plans,
 ) -> BTreeMap<(&'a id::Domain, Epoch, &'a id::Group), Vec<&'a Runner>> {
-    let last_epoch = plans.values().map(|plan| plan.last_epoch).max().unwrap_or_default();
+    let last_epoch = plans.values().map(|plan| plan.top).max().unwrap_or_default();
     let mut strays: BTreeMap<_, Vec<&Runner>> = BTreeMap::new();
     for runner in roster.iter() {
         let (Some(domain), Some(place)) = (&runner.domain, &runner.membership) else { continue };
@@ -57,8 +57,8 @@
         model: model.clone(),
         members: members.iter().map(|runner| runner.id.clone()).collect(),
         state: State::Active,
-        stalled: false,
-        incarnations: members.iter().map(|runner| runner.life).collect(),
+        still: false,
+        lives: members.iter().map(|runner| runner.life).collect(),
     })
 }
 
@@ -76,7 +76,7 @@
         let plan = found.entry(domain.clone()).or_default();
         plan.groups.retain(|former| !former.members.iter().any(|id| group.members.contains(id)));
         plan.groups.push(group);
-        plan.last_epoch = plan.last_epoch.max(epoch);
+        plan.top = plan.top.max(epoch);
         changed.insert(domain.clone());
     }
     found.retain(|domain, _| changed.contains(domain));
--- a/crates/fleet/src/form.rs
+++ b/crates/fleet/src/form.rs
@@ -103,16 +103,16 @@
         let model = models[candidate.model].name.clone();
         let names = candidate.members.iter().map(id::Runner::as_str).collect::<Vec<_>>().join(" ");
         draft.reasons.push(format!("form {name} of {model} with {names}"));
-        draft.plan.last_epoch = epoch;
+        draft.plan.top = epoch;
         draft.plan.groups.push(Group {
             name,
             epoch,
             service: snapshot.service.id.clone(),
             model,
-            incarnations: candidate.members.iter().map(|id| snapshot.roster.get(id)?.life).collect(),
+            lives: candidate.members.iter().map(|id| snapshot.roster.get(id)?.life).collect(),
             members: candidate.members,
             state: State::Active,
-            stalled: false,
+            still: false,
         });
     }
     false
@@ -120,8 +120,8 @@
 
 /// The highest epoch known of, planned or seen at a runner.
 pub(crate) fn find_last_epoch(snapshot: &Snapshot, drafts: &[Draft]) -> Epoch {
-    let planned = drafts.iter().map(|draft| draft.plan.last_epoch);
-    let stored = snapshot.plans.values().map(|plan| plan.last_epoch);
+    let planned = drafts.iter().map(|draft| draft.plan.top);
+    let stored = snapshot.plans.values().map(|plan| plan.top);
     let seen = snapshot.roster.iter().filter_map(|runner| Some(runner.membership.as_ref()?.epoch));
     planned.chain(stored).chain(seen).max().unwrap_or_default()
 }
--- a/crates/fleet/src/loss.rs
+++ b/crates/fleet/src/loss.rs
@@ -136,7 +136,7 @@
 /// Writes down which groups that were given up stand still by now.
 pub(crate) fn mark_stalled(draft: &mut Draft, memory: &Memory) {
     for group in draft.plan.groups.iter_mut().filter(|group| group.is_retired()) {
-        group.stalled |= memory.stalled_since.contains_key(&(group.name.clone(), group.epoch));
+        group.still |= memory.stalled_since.contains_key(&(group.name.clone(), group.epoch));
     }
 }
 
--- a/crates/fleet/src/memory.rs
+++ b/crates/fleet/src/memory.rs
@@ -48,7 +48,7 @@
     /// The lives of the runners that the above were given to.
     incarnations: HashMap<id::Runner, Life>,
     /// What each runner was last told to stage.
-    staging: HashMap<id::Runner, Staging>,
+    staging_orders: HashMap<id::Runner, Staging>,
     /// Groups whose members were refused in a way that no repeat mends.
     pub(crate) refused_joins: HashSet<(id::Group, Epoch)>,
     /// Since when a retired group lacks a member and must stand still.
@@ -80,8 +80,10 @@
 
     /// How many things are remembered; bounded by the runners and groups there are.
     pub fn count_entries(&self) -> usize {
-        let orders =
-            self.issued_at.len() + self.first_issued_at.len() + self.acknowledged.len() + self.staging.len();
+        let orders = self.issued_at.len()
+            + self.first_issued_at.len()
+            + self.acknowledged.len()
+            + self.staging_orders.len();
         orders + self.refused_joins.len() + self.stalled_since.len()
     }
 
@@ -116,7 +118,7 @@
                 self.issued_at.retain(|key, _| is_other(key));
                 self.first_issued_at.retain(|key, _| is_other(key));
                 self.acknowledged.retain(is_other);
-                self.staging.remove(&runner.id);
+                self.staging_orders.remove(&runner.id);
                 self.rejecting.remove(&runner.id);
             }
         }
@@ -139,13 +141,13 @@
         let timeout = Millis(model.load.0 * STAGING_TIMEOUT_FACTOR);
         let staging =
             Staging { model: model.name.clone(), until: now + timeout, staged_before: runner.staged.clone() };
-        self.staging.insert(runner.id.clone(), staging);
+        self.staging_orders.insert(runner.id.clone(), staging);
         self.loads.record_started(now, 1, model.load, serving, purpose);
     }
 
     /// The model that a runner was last told to stage, if it has it or may still load it.
     pub(crate) fn last_staged(&self, runner: &Runner, now: Millis) -> Option<&id::Model> {
-        let staging = self.staging.get(&runner.id)?;
+        let staging = self.staging_orders.get(&runner.id)?;
         let loading = now < staging.until && runner.staged == staging.staged_before;
         (loading || runner.staged.contains(&staging.model)).then_some(&staging.model)
     }
@@ -167,7 +169,7 @@
         self.first_issued_at.retain(|key, _| is_relevant(key));
         self.acknowledged.retain(is_relevant);
         self.incarnations.retain(|runner, _| is_known(runner));
-        self.staging.retain(|runner, _| is_known(runner));
+        self.staging_orders.retain(|runner, _| is_known(runner));
         self.refused_joins.retain(|(group, epoch)| is_planned(group, *epoch));
         self.stalled_since.retain(|(group, epoch), _| is_planned(group, *epoch));
         self.loads.prune(snapshot.now, snapshot.ceiling);
@@ -189,7 +191,7 @@
                 self.refused_joins.insert((group.clone(), *epoch));
             }
             Order::Stage(_) => {
-                self.staging.remove(runner);
+                self.staging_orders.remove(runner);
             }
             Order::Open(..) | Order::Close(..) | Order::Leave(..) => {}
         }
--- a/crates/fleet/src/plan.rs
+++ b/crates/fleet/src/plan.rs
@@ -25,13 +25,13 @@
     /// What is meant to become of it.
     pub state: State,
     /// Whether it is given up and a member is known to be away, so that it stands still.
-    #[serde(default, rename = "still")]
-    pub stalled: bool,
+    #[serde(default)]
+    pub still: bool,
     /// The lives of its members by rank, as they were known when it was planned: a member
     /// that has started again is in no group, though its id is the same. Nodes that
     /// knew no lives wrote none.
-    #[serde(default, rename = "lives")]
-    pub incarnations: Vec<Option<Life>>,
+    #[serde(default)]
+    pub lives: Vec<Option<Life>>,
 }
 
 /// What is meant to become of a group.
@@ -55,7 +55,7 @@
     /// The life in which a member was planned, where that was known.
     pub fn find_incarnation(&self, member: &id::Runner) -> Option<Life> {
         let rank = self.members.iter().position(|id| id == member)?;
-        *self.incarnations.get(rank)?
+        *self.lives.get(rank)?
     }
 
     /// The member that takes the requests.
@@ -68,8 +68,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Document {
     /// The highest epoch ever given out here.
-    #[serde(rename = "top")]
-    pub last_epoch: Epoch,
+    pub top: Epoch,
     /// The groups.
     pub groups: Vec<Group>,
     /// How often it was written: of two, the later one has more, also where the store has come
@@ -100,7 +99,7 @@
             if group.members.is_empty() {
                 return Err(PlanError::Empty(group.name.clone()));
             }
-            if group.epoch > self.last_epoch {
+            if group.epoch > self.top {
                 return Err(PlanError::Epoch(group.name.clone()));
             }
             if let Some(twice) = group.members.iter().find(|member| !seen.insert(*member)) {
--- a/crates/fleet/src/stall.rs
+++ b/crates/fleet/src/stall.rs
@@ -19,7 +19,7 @@
 impl Stalls {
     /// The plans are these at `now`.
     pub fn update(&mut self, plans: &Plans, now: Millis) {
-        let groups = plans.values().flat_map(|plan| &plan.groups).filter(|group| group.stalled);
+        let groups = plans.values().flat_map(|plan| &plan.groups).filter(|group| group.still);
         let stalled: HashSet<(id::Group, Epoch)> =
             groups.map(|group| (group.name.clone(), group.epoch)).collect();
         self.0.retain(|key, _| stalled.contains(key));
--- a/crates/fleet/tests/adopt.rs
+++ b/crates/fleet/tests/adopt.rs
@@ -26,7 +26,7 @@
     for (domain, found) in &adoption.plans {
         let planned = &world.plans[domain];
         assert_eq!(sort(&found.groups), sort(&planned.groups));
-        assert_eq!(found.last_epoch, found.groups.iter().map(|group| group.epoch).max().unwrap());
+        assert_eq!(found.top, found.groups.iter().map(|group| group.epoch).max().unwrap());
         assert_eq!(found.check(), Ok(()));
     }
 }
@@ -45,10 +45,10 @@
     let last = sort(&planned.groups).pop().unwrap().clone();
     let mut groups: Vec<Group> =
         planned.groups.iter().filter(|group| group.epoch != last.epoch).cloned().collect();
-    let last_epoch = Epoch(last.epoch.0 - 1);
+    let top = Epoch(last.epoch.0 - 1);
     let former = Group { name: "former".parse().unwrap(), epoch: Epoch(1), ..last.clone() };
     groups.push(former);
-    let older = Plans::from([(domain.clone(), Document { last_epoch, groups, version: 4 })]);
+    let older = Plans::from([(domain.clone(), Document { top, groups, version: 4 })]);
     let adoption = find(&world, &older);
     let [(_, found)] = &adoption.plans[..] else { panic!("{adoption:?}") };
     assert!(found.groups.contains(&last));
--- a/crates/fleet/tests/belief.rs
+++ b/crates/fleet/tests/belief.rs
@@ -39,10 +39,10 @@
         model: "large".parse().unwrap(),
         members: vec!["r0".parse().unwrap(), "r1".parse().unwrap()],
         state,
-        stalled: false,
-        incarnations: Vec::new(),
+        still: false,
+        lives: Vec::new(),
     };
-    Plans::from([("d0".parse().unwrap(), Document { last_epoch: Epoch(1), groups: vec![group], version: 1 })])
+    Plans::from([("d0".parse().unwrap(), Document { top: Epoch(1), groups: vec![group], version: 1 })])
 }
 
 fn heads(roster: &Roster, plans: &Plans) -> usize {
--- a/crates/fleet/tests/census.rs
+++ b/crates/fleet/tests/census.rs
@@ -50,8 +50,8 @@
         model: "m".parse().unwrap(),
         members: members.iter().map(|member| format!("r{member}").parse().unwrap()).collect(),
         state,
-        stalled: false,
-        incarnations: Vec::new(),
+        still: false,
+        lives: Vec::new(),
     }
 }
 
@@ -90,7 +90,7 @@
         group(2, [2, 3], State::Active),
         group(3, [4, 5], State::Closing),
     ];
-    let plans = Plans::from([("d0".parse().unwrap(), Document { last_epoch: Epoch(3), groups, version: 1 })]);
+    let plans = Plans::from([("d0".parse().unwrap(), Document { top: Epoch(3), groups, version: 1 })]);
     let census = count(&roster, &plans);
     assert_eq!((census.runners, census.serving, census.held, census.free, census.unfit), (9, 2, 4, 2, 1));
     let row = &census.rows[0];
--- a/crates/fleet/tests/lives.rs
+++ b/crates/fleet/tests/lives.rs
@@ -27,7 +27,7 @@
     for group in open {
         for member in &group.members {
             let runner = world.roster.get(member).unwrap();
-            assert_eq!(group.find_life(member), runner.life, "{member} in {}", group.name);
+            assert_eq!(group.find_incarnation(member), runner.life, "{member} in {}", group.name);
             let place = runner.membership.as_ref().unwrap();
             assert_eq!((&place.group, place.epoch), (&group.name, group.epoch), "{member}");
         }
