--- a/crates/fleet/src/decide.rs
+++ b/crates/fleet/src/decide.rs
@@ -1,12 +1,10 @@
-//! What the deciding node does next for the groups of one service.
+//! The planner's next step for the groups of one service.
 //!
-//! [`step`] compares the plan of every fabric domain with what the runners say
-//! of themselves. It gives up groups that lost a member and releases their
-//! members ([`crate::loss`]), forms new groups out of free runners
-//! ([`crate::form`]), and lists the orders that bring the runners to where the
-//! plan wants them ([`crate::orders`], [`crate::staging`]). It only names changes;
-//! whoever calls it writes them to the store under a condition and sends the
-//! orders after that.
+//! [`step`] compares the plan of every fabric domain with the state that the runners report. It
+//! retires groups that lost a member and releases their members ([`crate::loss`]), forms new groups
+//! from free runners ([`crate::form`]), and lists the orders that bring the runners to the planned
+//! state ([`crate::orders`], [`crate::staging`]). It only returns changes; the caller writes them
+//! to the store with a compare-and-swap and sends the orders after that.
 
 use cottoncrank::id;
 
@@ -28,16 +26,16 @@
 use crate::staging::order_staging;
 use crate::targets::list_shortages;
 
-/// What is to be done.
+/// The changes that the planner wants now.
 #[derive(Clone, Debug, Default)]
 pub struct Step {
-    /// Documents that change, each with the reasons.
+    /// Plans to write, each with the reasons for its changes.
     pub writes: Vec<(id::Domain, Document, Vec<String>)>,
-    /// Orders to give now.
+    /// Orders to send after the plans are written.
     pub orders: Vec<(id::Runner, Order)>,
 }
 
-/// Decides what to do next.
+/// Returns the plans to write and the orders to send next.
 pub fn step(snapshot: &Snapshot, memory: &mut Memory) -> Step {
     let Some(published) = &snapshot.service.engine else { return Step::default() };
     memory.prune(snapshot);
@@ -79,7 +77,7 @@
     for draft in &drafts {
         list_orders(snapshot, draft, &mut issuer);
     }
-    // Before callers come, loads are short, and groups go first.
+    // Before callers arrive, loads are fast, and forming groups takes precedence over staging.
     if snapshot.serving || (!waiting && settled) {
         order_staging(snapshot, engine, &risk, &shortages, &drafts, &mut issuer);
         order_preloads(&engine.models, &drafts, find_last_epoch(snapshot, &drafts), &mut issuer);
@@ -92,7 +90,7 @@
     step
 }
 
-/// The part of its slots in use, for each model that has open groups.
+/// Returns the utilization of slots for each model that has open groups.
 fn list_utilization(snapshot: &Snapshot, models: &[Model], in_flight: &Counts) -> Vec<(id::Model, f64)> {
     let find_utilization = |model: &Model| {
         let heads = snapshot.roster.list_heads(&snapshot.service.id, &model.name, snapshot.plans);
--- a/crates/fleet/src/form.rs
+++ b/crates/fleet/src/form.rs
@@ -1,4 +1,4 @@
-//! Forming groups out of free runners: which model, where, with whom.
+//! Forms groups from free runners: chooses the model, the domain and the members.
 
 use cottoncrank::{Millis, id};
 
@@ -11,28 +11,27 @@
 use crate::snapshot::{Draft, Snapshot, find_join_time};
 use crate::targets::{count_active, list_targets};
 
-/// Forming a group this much sooner is worth as much as the whole of what a
-/// model is meant to have: about the time of a load from the weight store.
+/// Forming a group this much sooner is worth as much as the whole target of a model. It is about
+/// the duration of a load from the weight store.
 const FORM_TIME_SCALE: Millis = Millis(15_000);
 
-/// Runners that a domain keeps beside a group of the largest model, where another
-/// domain can take it: one for each of two models.
+/// The runners that a domain should have left beside a group of the largest model, where another
+/// domain can take the group: one for each of two models.
 const SPARE_RUNNERS: usize = 2;
 
-/// Where a domain would keep fewer than [`SPARE_RUNNERS`], a group there counts as
-/// worth less by this part of what its model is meant to have.
+/// A group that would leave fewer than [`SPARE_RUNNERS`] in its domain is worth less by this
+/// fraction of the model's target.
 const NO_SPARES_PENALTY: f64 = 0.6;
 
-/// The same for each group of the model that the domain has already: its loss
-/// as a whole takes them all.
+/// The same penalty for each group of the model that the domain already has, because the loss of
+/// the domain would take them all.
 const CROWDING_PENALTY: f64 = 0.05;
 
-/// A whole set of free runners that hold the largest model goes before all other
-/// choices, whose scores stay below this.
+/// A complete set of free runners that hold the largest model takes precedence over all other
+/// candidates, whose scores stay below this.
 const COMPLETE_SET_BONUS: f64 = 10.0;
 
-/// Beyond what is meant, groups are formed up to this factor out of runners that
-/// hold the model anyway.
+/// Groups are formed up to this multiple of the target if their members hold the model anyway.
 const MAX_EXCESS_FACTOR: f64 = 1.5;
 
 /// A group that could be formed now.
@@ -44,19 +43,19 @@
     score: f64,
 }
 
-/// What a choice is made by beside the runners.
+/// The inputs, besides the runners, by which a candidate is chosen.
 #[derive(Clone, Copy)]
 struct Goals<'a> {
-    /// The groups of each model that are not given up.
+    /// The number of active groups of each model.
     active: &'a [usize],
-    /// The groups that each is meant to have.
+    /// The number of groups that each model should have.
     targets: &'a [f64],
-    /// Whether no runner has come for a while.
+    /// Whether no runner has been added for a while.
     settled: bool,
 }
 
-/// Forms groups out of free runners, of the model that lacks most first.
-/// Returns whether one waits until its members may begin to load.
+/// Forms groups from free runners, starting with the model that is furthest below its target.
+/// Returns whether a group waits until its members may begin to load.
 pub(crate) fn form_groups(
     snapshot: &Snapshot,
     engine: &Engine,
@@ -76,7 +75,7 @@
         memory,
         Goals { active: &active, targets: &targets, settled },
     ) {
-        // A model without any group does not wait until others have loaded.
+        // A model without any group does not wait for the loads of others.
         let respects_limit = snapshot.serving && active[candidate.model] > 0;
         if candidate.loads
             > memory.loads.count_allowed(
@@ -118,7 +117,7 @@
     false
 }
 
-/// The highest epoch known of, planned or seen at a runner.
+/// Returns the highest known epoch, planned or seen at a runner.
 pub(crate) fn find_last_epoch(snapshot: &Snapshot, drafts: &[Draft]) -> Epoch {
     let planned = drafts.iter().map(|draft| draft.plan.top);
     let stored = snapshot.plans.values().map(|plan| plan.top);
@@ -148,7 +147,8 @@
                 continue;
             }
             let fulfillment = |at: usize| active[at] as f64 / targets[at];
-            // What a model that lacks more has left is completed sooner than loaded anew.
+            // Runners that have served a model further below its target are left to it: to
+            // complete that group is faster than to load the model again.
             let is_needed_elsewhere = |runner: &Runner| {
                 let mut others = models.iter().enumerate().filter(|(at, _)| *at != model_at);
                 others.any(|(at, other)| {
@@ -160,8 +160,8 @@
             if by_time.len() < model.size {
                 continue;
             }
-            // Where it takes no longer, those go last that turned requests away as heads, and the
-            // first one is the head.
+            // At equal join times, runners that rejected requests as heads come last, and the
+            // first one that did not is made the head.
             by_time.sort_by_key(|runner| (find_join_time(runner, model), memory.is_rejecting(&runner.id)));
             let members = &mut by_time[..model.size];
             if let Some(head) = members.iter().position(|runner| !memory.is_rejecting(&runner.id)) {
@@ -169,14 +169,14 @@
             }
             let time = members.iter().map(|runner| find_join_time(runner, model)).max().unwrap_or_default();
             let loads = members.iter().filter(|runner| find_join_time(runner, model) == model.load).count();
-            // A member that loads from the weight store is bound for many seconds.
-            // Staged on the side instead, it stays free for whatever is lost next.
+            // A member that loads from the weight store is bound for many seconds. If it stages
+            // the model instead, it stays free for the next loss.
             if loads > 0 && snapshot.serving && active[model_at] > 0 {
                 continue;
             }
             let fulfillment = fulfillment(model_at);
             let holders = free.iter().filter(|runner| find_join_time(runner, model) < model.load).count();
-            // Members of small groups stand in for the spare runners of the largest model.
+            // Members of small groups serve as the spare runners of the largest model.
             let spares = if model.size == largest { 0 } else { risk.count_spares(model) };
             let has_surplus = loads == 0 && holders >= model.size + spares;
             let max_groups =
@@ -187,10 +187,10 @@
             let time = if loads > 0 { Millis(0) } else { time };
             let groups_here = draft.plan.groups.iter().filter(|group| group.model == model.name).count();
             let leaves_no_spares = model.size == largest && free.len() < model.size + SPARE_RUNNERS;
-            // The free runners that hold a large model are what is left of a group and
-            // what completes it: they go before all else, also beyond what is meant where
-            // they have all served it, for serving another model would make them lose it.
-            // Not so where callers want less of it than was published.
+            // The free runners that hold a large model are the remaining members of a group and
+            // its replacements. They take precedence, even above the target if all of them have
+            // served the model, because they would lose it by serving another one. This does not
+            // apply where callers need less of the model than its published share.
             let keeps_served = !has_reduced_share(snapshot, model)
                 && members.iter().all(|runner| runner.has_served(&model.name));
             let completes_largest = snapshot.serving
@@ -211,15 +211,15 @@
     best
 }
 
-/// Whether a model needs a smaller part of the runners than operators published for it.
+/// Whether a model needs a smaller share of the runners than operators published.
 fn has_reduced_share(snapshot: &Snapshot, model: &Model) -> bool {
     let published = snapshot.service.engine.iter().flat_map(|engine| &engine.models);
     published.filter(|known| known.name == model.name).any(|known| model.share < known.share)
 }
 
-/// Whether a group of `model` takes the room of the first large group of a domain that
-/// is meant to have one. Runners of a fleet that starts appear one by one: without
-/// this, small groups of the first ones left domains that no large group fitted into.
+/// Whether a group of `model` takes the room of the first large group in a domain that should have
+/// one. Runners of a starting fleet appear one by one: without this check, small groups of the
+/// first runners left domains without room for a large group.
 fn is_crowding_out(
     models: &[Model],
     model: &Model,
--- a/crates/fleet/src/issuer.rs
+++ b/crates/fleet/src/issuer.rs
@@ -1,4 +1,4 @@
-//! Giving orders: each once, and again when it shows no effect.
+//! Issues orders to runners, and repeats those that show no effect.
 
 use cottoncrank::{Millis, id};
 
@@ -6,14 +6,14 @@
 use crate::order::{Order, REPEAT_ACKNOWLEDGED_INTERVAL, REPEAT_INTERVAL};
 use crate::runner::Runner;
 
-/// Gives each order once, and again when it shows no effect.
+/// Issues each order once, and again while it shows no effect.
 pub(crate) struct Issuer<'a> {
     pub(crate) now: Millis,
     pub(crate) memory: &'a mut Memory,
     pub(crate) orders: &'a mut Vec<(id::Runner, Order)>,
-    /// Loads for groups that callers need that may still begin in this step.
+    /// The loads that may still begin in this step for groups that callers need.
     pub(crate) repair_loads: usize,
-    /// The same for loads in reserve.
+    /// The loads that may still begin in this step in reserve.
     pub(crate) reserve_loads: usize,
     pub(crate) serving: bool,
 }
@@ -33,14 +33,15 @@
         }
     }
 
-    /// Whether an order was first given at least `span` ago.
+    /// Whether an order was first issued at least `span` ago. The first call for an order starts
+    /// the time.
     pub(crate) fn has_waited(&mut self, runner: &id::Runner, order: &Order, span: Millis) -> bool {
         let key = (runner.clone(), order.clone());
         let first = *self.memory.first_issued_at.entry(key).or_insert(self.now);
         self.now >= first + span
     }
 
-    /// The model that the runner was last told to stage.
+    /// Returns the model that the runner was last ordered to stage.
     pub(crate) fn last_staged(&self, runner: &Runner) -> Option<&id::Model> {
         self.memory.last_staged(runner, self.now)
     }
--- a/crates/fleet/src/loss.rs
+++ b/crates/fleet/src/loss.rs
@@ -1,4 +1,4 @@
-//! Giving up groups that lost a member, and releasing those that are left.
+//! Retires groups that lost a member, and releases the remaining members.
 
 use cottoncrank::{Millis, id};
 
@@ -9,15 +9,15 @@
 use crate::runner::{Phase, Runner};
 use crate::snapshot::{Draft, Snapshot, find_phase};
 
-/// Kept on top of the time after which a group that stands still is broken, for
-/// the way of the order that made it stand still.
+/// Added to the time after which a stalled group is broken, for the transmission of the order that
+/// stalled it.
 pub const STALL_MARGIN: Millis = Millis(300);
 
-/// A group with one in so many of its slots in use serves hardly anybody: what is in flight there
-/// is on its way to be turned away.
+/// A group with at most one request per this many slots is practically idle: the few requests in
+/// flight are about to be rejected.
 const IDLE_SLOTS_PER_REQUEST: u32 = 8;
 
-/// Why a group cannot go on, and whether it can still finish what it has.
+/// Why a group cannot continue, and whether it can still finish its requests.
 struct Loss {
     state: State,
     reason: String,
@@ -36,7 +36,7 @@
     let head = group.head().and_then(|id| snapshot.roster.get(id));
     let open = head.is_some_and(|head| matches!(find_phase(head, group), Some(Phase::Open | Phase::Closing)));
     let losses = group.members.iter().filter_map(|member| match snapshot.roster.get(member) {
-        // Whatever its entry says by now: its group stands still until it breaks.
+        // The entry does not matter: the group of a restarted member is stalled until it breaks.
         _ if snapshot.has_restarted(group, member) => {
             Some(Loss::lost(format!("member {member} has started again")))
         }
@@ -49,8 +49,8 @@
     losses.max_by_key(|loss| loss.state == State::Lost).or_else(|| find_rejection(snapshot, group, memory))
 }
 
-/// Whether a head in good health turns all requests away that another member could take. A group
-/// that is merely full has requests in flight.
+/// Whether a head that looks healthy rejects all requests and another member could be the head. A
+/// group that is merely full has requests in flight.
 fn is_rejecting_all(snapshot: &Snapshot, group: &Group, memory: &Memory) -> bool {
     let Some(head) = group.head().filter(|head| snapshot.rejecting.contains(*head)) else { return false };
     let slots = snapshot.roster.get(head).map_or(0, |head| head.slots);
@@ -64,7 +64,7 @@
     is_rejecting_all(snapshot, group, memory).then(|| Loss { state: State::Closing, reason: reason() })
 }
 
-/// What is wrong with a member that is there.
+/// Returns the fault of a member that has an entry, if there is one.
 fn find_fault(snapshot: &Snapshot, group: &Group, runner: &Runner) -> Option<Loss> {
     let id = &runner.id;
     if snapshot.probes.is_silent(id) {
@@ -80,9 +80,9 @@
     runner.draining.then(leaving)
 }
 
-/// Whether a member's missing entry means that it is lost. A runner that is cut
-/// off from the store alone goes on working; but no head may be sent requests
-/// without an entry, and no group opens with a member that cannot be seen ready.
+/// Returns the loss that a member's missing entry means, if it means one. A runner that is cut off
+/// only from the store continues to work; but a head without an entry must not get requests, and a
+/// group cannot open with a member that cannot be seen to be ready.
 fn find_absence(snapshot: &Snapshot, group: &Group, member: &id::Runner, open: bool) -> Option<Loss> {
     match snapshot.probes.health(member) {
         Health::Responsive if open && group.head() != Some(member) => None,
@@ -96,7 +96,7 @@
     }
 }
 
-/// Gives up groups that cannot go on. Returns how many lost a member.
+/// Retires groups that cannot continue. Returns how many lost a member.
 pub(crate) fn retire_groups(snapshot: &Snapshot, draft: &mut Draft, memory: &Memory) -> usize {
     let mut lost = 0;
     for group in draft.plan.groups.iter_mut().filter(|group| group.state != State::Lost) {
@@ -110,12 +110,12 @@
     lost
 }
 
-/// Whether no runner of a retired group takes requests any more, or depends on
-/// one that does. Entries say nothing of that: all members may be cut off from the
-/// store alone, and come back one after the other.
+/// Whether no runner of a retired group takes requests or depends on one that does. Entries do not
+/// show this: all members may be cut off only from the store, and their entries may return one
+/// after the other.
 fn is_releasable(snapshot: &Snapshot, group: &Group, memory: &Memory) -> bool {
     let Some(head) = group.head() else { return true };
-    // Its process is no more, and what it served has ended with that.
+    // The process of the head has ended, and its requests with it.
     if snapshot.probes.is_gone(head) || snapshot.has_restarted(group, head) {
         return true;
     }
@@ -124,8 +124,8 @@
     match snapshot.find(head) {
         Some(head) => has_left && find_phase(head, group).is_none(),
         None if has_left => true,
-        // The head cannot be asked: it may be cut off and open. Once a member has
-        // left, it stands still, and after a time it breaks.
+        // The head cannot be reached: it may be cut off and still open. Once a member has left,
+        // the group is stalled, and it breaks after the stall time.
         None => memory
             .stalled_since
             .get(&(group.name.clone(), group.epoch))
@@ -133,14 +133,14 @@
     }
 }
 
-/// Writes down which groups that were given up stand still by now.
+/// Marks the retired groups that are known to be stalled.
 pub(crate) fn mark_stalled(draft: &mut Draft, memory: &Memory) {
     for group in draft.plan.groups.iter_mut().filter(|group| group.is_retired()) {
         group.still |= memory.stalled_since.contains_key(&(group.name.clone(), group.epoch));
     }
 }
 
-/// Releases the members of groups given up, once that is safe.
+/// Releases the members of retired groups once that is safe.
 pub(crate) fn release_groups(snapshot: &Snapshot, draft: &mut Draft, memory: &Memory) {
     let reasons = &mut draft.reasons;
     draft.plan.groups.retain(|group| {
--- a/crates/fleet/src/memory.rs
+++ b/crates/fleet/src/memory.rs
@@ -1,4 +1,4 @@
-//! What the deciding node remembers of runners, groups and orders besides the plan.
+//! What the planner remembers of runners, groups and orders besides the plan.
 
 use std::collections::{HashMap, HashSet};
 
@@ -14,71 +14,73 @@
 use crate::snapshot::Snapshot;
 use crate::stall::Stalls;
 
-/// A fleet is taken to have all its runners when none has come for this long.
-/// Those that start together write their entries within a second.
+/// A fleet counts as complete when no runner has been added for this long. Runners that start
+/// together write their entries within a second.
 const SETTLE_TIME: Millis = Millis(1000);
 
-/// A runner that was told to load a model is taken to do so for this many times as long
-/// as a load takes at full speed: others may load beside it. An order may be lost, though.
+/// After an order to load a model, a runner is assumed to be loading for this many times the
+/// duration of a load at full speed, because others may load at the same time. The bound is needed
+/// because an order may be lost.
 const STAGING_TIMEOUT_FACTOR: u64 = 3;
 
-/// A runner that turned requests away is made no head for this long, if another one can be.
+/// A runner that rejected requests is not made head for this long, if another one can be.
 const REJECTING_TTL: Millis = Millis(15_000);
 
-/// A model that a runner was told to load onto its host.
+/// An order to load a model onto the host of a runner.
 #[derive(Clone, Debug)]
 struct Staging {
     model: id::Model,
-    /// Until when it may still load it.
+    /// The time until which the runner may still be loading.
     until: Millis,
-    /// What the host held before.
+    /// The models on the host before the order.
     staged_before: Vec<id::Model>,
 }
 
-/// What the deciding node remembers besides the plan. All of it may be lost: a
-/// new decider then waits longer than it would have to, and repeats orders.
+/// What the planner remembers besides the plan. All of it may be lost: a new decider then waits
+/// longer than necessary and repeats orders.
 #[derive(Clone, Debug, Default)]
 pub struct Memory {
-    /// When each order was last given.
+    /// When each order was last issued.
     pub(crate) issued_at: HashMap<(id::Runner, Order), Millis>,
-    /// When a closing order was first given to a head that has no entry.
+    /// When a close order was first issued to a head that has no entry.
     pub(crate) first_issued_at: HashMap<(id::Runner, Order), Millis>,
-    /// Orders that the runner answered as done or begun.
+    /// Orders that the runner acknowledged as done or begun.
     pub(crate) acknowledged: HashSet<(id::Runner, Order)>,
-    /// The lives of the runners that the above were given to.
+    /// The incarnations of the runners that received the orders above.
     incarnations: HashMap<id::Runner, Life>,
-    /// What each runner was last told to stage.
+    /// The last order to stage a model, by runner.
     staging_orders: HashMap<id::Runner, Staging>,
-    /// Groups whose members were refused in a way that no repeat mends.
+    /// Groups with a member that refused to join in a way that no retry can change.
     pub(crate) refused_joins: HashSet<(id::Group, Epoch)>,
-    /// Since when a retired group lacks a member and must stand still.
+    /// Since when a retired group lacks a member and is therefore stalled.
     pub(crate) stalled_since: HashMap<(id::Group, Epoch), Millis>,
-    /// Runners that turned requests away as heads, and when they were last seen to.
+    /// Heads that rejected requests, with the time when this was last seen.
     rejecting: HashMap<id::Runner, Millis>,
-    /// Loads begun lately.
+    /// Recent loads.
     pub(crate) loads: Loads,
-    /// Members lost so far.
+    /// The members lost so far.
     pub(crate) losses: Losses,
-    /// How busy the groups of each model are, by service.
+    /// The observed utilization of the groups of each model, by service.
     pub(crate) demands: HashMap<id::Service, Demand>,
-    /// The most runners seen so far, and since when.
+    /// The largest number of runners seen so far, and since when.
     max_runners: usize,
     grown_at: Millis,
 }
 
 impl Memory {
-    /// What a node starts with that begins to decide.
+    /// Returns the memory of a new decider, with the stalled groups that the node knows from the
+    /// plans.
     pub fn resume(stalls: &Stalls) -> Memory {
         Memory { stalled_since: stalls.list(), ..Memory::default() }
     }
 
-    /// Which part of the runners each model of a service is to have.
+    /// Returns the share of the runners that each model of a service needs.
     pub fn list_shares(&self, service: &Service) -> Vec<Share> {
         let models = service.engine.iter().flat_map(|engine| &engine.models).cloned().collect::<Vec<_>>();
         self.demands.get(&service.id).map_or(Vec::new(), |demand| demand.list_shares(&models))
     }
 
-    /// How many things are remembered; bounded by the runners and groups there are.
+    /// Returns the number of entries kept; it is bounded by the numbers of runners and groups.
     pub fn count_entries(&self) -> usize {
         let orders = self.issued_at.len()
             + self.first_issued_at.len()
@@ -87,10 +89,10 @@
         orders + self.refused_joins.len() + self.stalled_since.len()
     }
 
-    /// A runner answered an order as done or begun at `now`.
+    /// Records that a runner acknowledged an order as done or begun at `now`.
     ///
-    /// The answer is of the life it was given in: `life`. What a former life took, the
-    /// present one knows nothing of.
+    /// `life` is the incarnation that the order was sent to. An acknowledgement of a former
+    /// incarnation does not count for the current one, which knows nothing of the order.
     pub fn record_acknowledged(
         &mut self,
         runner: &id::Runner,
@@ -99,7 +101,7 @@
         now: Millis,
     ) {
         if let Order::Leave(group, epoch) = order {
-            // Whichever member left: the group stands still from now on.
+            // The group is stalled from now on, whichever member left.
             self.stalled_since.entry((group.clone(), *epoch)).or_insert(now);
         }
         let current = self.incarnations.get(runner).copied();
@@ -108,7 +110,7 @@
         }
     }
 
-    /// Forgets what was told to former lives of runners.
+    /// Drops what was sent to former incarnations of runners.
     fn forget_old_incarnations(&mut self, roster: &Roster) {
         for runner in roster.iter() {
             let Some(life) = runner.life else { continue };
@@ -124,12 +126,12 @@
         }
     }
 
-    /// Whether a runner has turned requests away lately: another one had better be the head.
+    /// Whether a runner rejected requests recently, so that another one should be the head.
     pub(crate) fn is_rejecting(&self, runner: &id::Runner) -> bool {
         self.rejecting.contains_key(runner)
     }
 
-    /// A runner is told to load a model on the side.
+    /// Records an order to load a model onto the host of a runner.
     pub(crate) fn record_staging(
         &mut self,
         runner: &Runner,
@@ -145,14 +147,15 @@
         self.loads.record_started(now, 1, model.load, serving, purpose);
     }
 
-    /// The model that a runner was last told to stage, if it has it or may still load it.
+    /// Returns the model that a runner was last ordered to stage, if it holds it or may still be
+    /// loading it.
     pub(crate) fn last_staged(&self, runner: &Runner, now: Millis) -> Option<&id::Model> {
         let staging = self.staging_orders.get(&runner.id)?;
         let loading = now < staging.until && runner.staged == staging.staged_before;
         (loading || runner.staged.contains(&staging.model)).then_some(&staging.model)
     }
 
-    /// Forgets what was given to runners, and known of groups, that are gone.
+    /// Drops the entries of runners and groups that no longer exist.
     pub(crate) fn prune(&mut self, snapshot: &Snapshot) {
         self.forget_old_incarnations(snapshot.roster);
         self.rejecting.extend(snapshot.rejecting.iter().map(|runner| (runner.clone(), snapshot.now)));
@@ -175,7 +178,7 @@
         self.loads.prune(snapshot.now, snapshot.ceiling);
     }
 
-    /// Whether no runner has come for a while.
+    /// Whether no runner has been added for [`SETTLE_TIME`].
     pub(crate) fn is_settled(&mut self, runners: usize, now: Millis) -> bool {
         if runners > self.max_runners {
             self.max_runners = runners;
@@ -184,7 +187,7 @@
         now >= self.grown_at + SETTLE_TIME
     }
 
-    /// A runner refused an order that no repeat makes it take.
+    /// Records that a runner refused an order in a way that no retry can change.
     pub fn record_refused(&mut self, runner: &id::Runner, order: &Order) {
         match order {
             Order::Join(group, epoch, ..) => {
--- a/crates/fleet/src/order.rs
+++ b/crates/fleet/src/order.rs
@@ -1,34 +1,34 @@
-//! What a runner is told.
+//! Fenced commands to runners.
 
 use cottoncrank::{Millis, id};
 
 use crate::runner::Epoch;
 
-/// An order that was not answered is given again after this long. Runners
-/// answer within milliseconds; an answer that is lost never comes.
+/// An order without an answer is repeated after this long. Runners answer within milliseconds; a
+/// lost answer never arrives.
 pub const REPEAT_INTERVAL: Millis = Millis(1500);
 
-/// An order that was answered, but shows no effect, is given again after this
-/// long: well beyond the way from the runner over the store to here.
+/// An order that was acknowledged but shows no effect is repeated after this long, well above the
+/// latency of the runner's change through the store to here.
 pub const REPEAT_ACKNOWLEDGED_INTERVAL: Millis = Millis(5000);
 
-/// What a runner is told.
+/// A command to a runner.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Order {
     /// Become a member of a group.
     Join(id::Group, Epoch, id::Model, Vec<id::Runner>),
-    /// The head takes requests.
+    /// The head starts to take requests.
     Open(id::Group, Epoch),
-    /// The head takes no more and finishes what it has.
+    /// The head takes no more requests and finishes those that it has.
     Close(id::Group, Epoch),
     /// Leave a group at once.
     Leave(id::Group, Epoch),
-    /// Load a model onto the host beside everything else.
+    /// Load a model onto the host, beside everything else.
     Stage(id::Model),
 }
 
 impl Order {
-    /// The forming of a group that the order is about, if it is about one.
+    /// Returns the name and epoch of the group that the order concerns, if there is one.
     pub fn group(&self) -> Option<(&id::Group, Epoch)> {
         match self {
             Order::Join(group, epoch, ..)
--- a/crates/fleet/src/orders.rs
+++ b/crates/fleet/src/orders.rs
@@ -1,4 +1,4 @@
-//! The orders that bring runners to where the plan wants them.
+//! The orders that bring runners to the planned state.
 
 use cottoncrank::Millis;
 
@@ -9,11 +9,11 @@
 use crate::runner::{Phase, Runner};
 use crate::snapshot::{Draft, Snapshot, find_phase, is_solo};
 
-/// A head that has no entry and is closed is given this long to finish what it
-/// has: most streams take less. Its entry would say when it has.
+/// The time that a closed head without an entry gets to finish its requests; most streams take
+/// less. Its entry would show when it has finished.
 pub const UNSEEN_HEAD_GRACE: Millis = Millis(1500);
 
-/// Lists the orders to give now in one domain.
+/// Issues the orders for one domain.
 pub(crate) fn list_orders(snapshot: &Snapshot, draft: &Draft, issuer: &mut Issuer) {
     for group in &draft.plan.groups {
         match group.is_retired() {
@@ -59,9 +59,9 @@
     }
 }
 
-/// The head has no entry and may still be open. If it answers, it is told to
-/// leave; else its members are, and it stands still as soon as one is away. A group
-/// none of whose members was there for a minute is taken to stand still as well.
+/// Issues leave orders where the head has no entry and may still be open. If the head responds, it
+/// gets the order; otherwise its members do, and the group is stalled as soon as one has left. A
+/// group is also taken to be stalled if none of its members has had an entry for a minute.
 fn order_leaving_unseen(snapshot: &Snapshot, group: &Group, living: &[&Runner], issuer: &mut Issuer) {
     let leave = Order::Leave(group.name.clone(), group.epoch);
     let head =
@@ -86,7 +86,8 @@
     }
 }
 
-/// Runners in a group that nobody planned, such as after an order carried out late.
+/// Issues leave orders to runners in a group that is not planned, for example after an order was
+/// executed late.
 fn order_strays(draft: &Draft, issuer: &mut Issuer) {
     for runner in &draft.runners {
         let Some(membership) = runner.membership.as_ref().filter(|_| !is_solo(runner)) else { continue };
--- a/crates/fleet/src/preempt.rs
+++ b/crates/fleet/src/preempt.rs
@@ -1,10 +1,10 @@
-//! Completing what is left of a large group with members of small ones.
+//! Preemption of small groups to complete a large one.
 //!
-//! Few domains have a spare runner for the large model. Without one the rest of a
-//! group would stand idle until another runner has loaded the model, which takes
-//! longer than most troubles last. Members of small groups hold the large model on
-//! their hosts while they serve ([`crate::staging`]), so one small group is closed
-//! instead, and its members complete the large one.
+//! Few domains have a spare runner for the large model. Without one, the remaining members of a
+//! group would stand idle until another runner has loaded the model, which takes longer than most
+//! faults last. Members of small groups hold the large model on their hosts while they serve
+//! ([`crate::staging`]), so one small group is closed instead, and its members complete the large
+//! one.
 
 use cottoncrank::id;
 
@@ -15,8 +15,8 @@
 use crate::snapshot::{Draft, Snapshot, find_join_time};
 use crate::targets::{count_active, list_targets};
 
-/// Closes small groups whose members complete a large one, as long as the large model
-/// has the smaller part of what it is meant to have.
+/// Closes small groups whose members complete a large one, as long as the large model is further
+/// below its target than the small one.
 pub(crate) fn preempt_groups(snapshot: &Snapshot, models: &[Model], risk: &Risk, drafts: &mut [Draft]) {
     let Some(large) = models.iter().max_by_key(|model| model.size) else { return };
     let targets = list_targets(models, drafts, risk);
@@ -45,19 +45,19 @@
     }
 }
 
-/// Closes groups of `lower` in a domain that lacks few runners for a group of `large`,
-/// if their members complete it. Returns whether it closed one.
+/// Closes groups of the `donors` in a domain that lacks few runners for a group of `large`, if
+/// their members complete it. Returns whether any was closed.
 fn close_victims(snapshot: &Snapshot, draft: &mut Draft, large: &Model, donors: &[&Model]) -> bool {
     let free =
         draft.list_free().into_iter().filter(|runner| find_join_time(runner, large) < large.load).count();
     let retired = draft.plan.groups.iter().filter(|group| group.is_retired());
     let returning: usize = retired.map(|group| count_holders(snapshot, group, large)).sum();
-    // Most of the group must be there: what is closed takes requests at present.
+    // Most of the large group must be available, because the closed groups are serving requests.
     if 2 * free < large.size || free + returning >= large.size {
         return false;
     }
-    // Those of a group that is over are told to leave it and are free in a moment. Where they
-    // complete the large one, no group is closed for it; where not, they do not change which is.
+    // Members of released groups have been ordered to leave and are free soon. If they complete
+    // the large group, nothing is closed; if not, they do not affect the choice of groups.
     let released = draft.list_released().filter(|runner| find_join_time(runner, large) < large.load).count();
     if free + returning + released >= large.size {
         return false;
@@ -76,9 +76,9 @@
     true
 }
 
-/// The groups of `lower` whose members make up for the `missing` ones, as few as there
-/// can be. None if all of them do not, or if as many runners would stop to serve as
-/// begin: a group closed for nothing is formed anew, and closed again.
+/// Returns the fewest groups of the `donors` whose members supply the `missing` ones. Returns none
+/// if all of them are not enough, or if at least as many runners would stop serving as begin: such
+/// a group would be formed again and closed again.
 fn find_victims(
     snapshot: &Snapshot,
     draft: &Draft,
@@ -103,7 +103,7 @@
     (found >= missing && closed < large.size).then_some(victims)
 }
 
-/// The members of a group that can join one of `model` without a load.
+/// Returns the number of members of a group that can join one of `model` without a load.
 fn count_holders(snapshot: &Snapshot, group: &Group, model: &Model) -> usize {
     let holds =
         |id: &&id::Runner| snapshot.find(id).is_some_and(|runner| find_join_time(runner, model) < model.load);
--- a/crates/fleet/src/snapshot.rs
+++ b/crates/fleet/src/snapshot.rs
@@ -1,4 +1,5 @@
-//! What the deciding node looks at: the runners as they are known, and the plans.
+//! The input of the planner: the known runners, the plans, and drafts of the plans while they are
+//! edited.
 
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 
@@ -12,67 +13,68 @@
 use crate::runner::{Phase, Runner, is_later};
 use crate::settings::Ceiling;
 
-/// What a step looks at.
+/// The input of one planning step.
 pub struct Snapshot<'a> {
-    /// The service whose groups are decided.
+    /// The service whose groups are planned.
     pub service: &'a Service,
-    /// The runners.
+    /// The known runners.
     pub roster: &'a Roster,
     /// The plan of each domain.
     pub plans: &'a BTreeMap<id::Domain, Document>,
-    /// Domains whose plan cannot be read. Nothing is decided there: groups that nobody
-    /// knows of may stand in it, written by a later version.
+    /// Domains whose plan cannot be decoded. Nothing is planned there, because the plan may hold
+    /// groups that a later version wrote and that are unknown here.
     pub closed: &'a BTreeSet<id::Domain>,
-    /// Which runners answer this node.
+    /// The results of the health checks of runners.
     pub probes: &'a Probes,
-    /// Whether callers have sent requests already. Before that, loads are short.
+    /// Whether callers have sent requests yet. Before that, loads are fast.
     pub serving: bool,
-    /// How fast runners may load.
+    /// The limit on the rate of loads.
     pub ceiling: &'a Ceiling,
-    /// After this long a group that stands still is broken.
+    /// The time after which a stalled group is broken.
     pub stall: Millis,
-    /// What all nodes have in flight at each group, if enough of them say so.
+    /// The requests that all nodes have in flight at each group, if enough nodes report theirs.
     pub in_flight: Option<&'a Counts>,
-    /// Runners that have turned requests away for a while.
+    /// Runners that have been rejecting requests for a while.
     pub rejecting: &'a BTreeSet<id::Runner>,
-    /// The time.
+    /// The current time.
     pub now: Millis,
 }
 
 impl<'a> Snapshot<'a> {
-    /// Whether a runner can be a member of a group as things are.
+    /// Whether a runner can be a member of a group at present.
     fn is_fit(&self, runner: &Runner) -> bool {
         !runner.draining && !matches!(self.probes.health(&runner.id), Health::Silent | Health::Slow)
     }
 
-    /// Whether a member of a group has started again since the group was planned.
+    /// Whether a member of a group has restarted since the group was planned.
     pub(crate) fn has_restarted(&self, group: &Group, member: &id::Runner) -> bool {
         let planned = group.find_incarnation(member);
         self.roster.recall(member).is_some_and(|runner| is_later(runner.life, planned))
     }
 
-    /// A runner that is there and answers.
+    /// Returns a runner that has an entry and is not silent.
     pub(crate) fn find(&self, id: &id::Runner) -> Option<&'a Runner> {
         self.roster.get(id).filter(|_| !self.probes.is_silent(id))
     }
 }
 
-/// One fabric domain while it is decided.
+/// The plan of one fabric domain while the planner edits it.
 pub(crate) struct Draft<'a> {
     pub(crate) id: id::Domain,
     pub(crate) plan: Document,
-    /// The service's runners there that answer and are not about to leave, by id.
+    /// The service's runners in the domain that respond and are not draining, by id.
     pub(crate) runners: Vec<&'a Runner>,
     pub(crate) reasons: Vec<String>,
 }
 
 impl<'a> Draft<'a> {
-    /// The runners that may join a new group now.
+    /// Returns the runners that may join a new group now.
     pub(crate) fn list_free(&self) -> Vec<&'a Runner> {
         self.list_unplanned().filter(|runner| runner.membership.is_none() || is_solo(runner)).collect()
     }
 
-    /// The runners that may as soon as they have left a group which is planned no more.
+    /// Returns the runners that may join a new group once they have left one that is no longer
+    /// planned.
     pub(crate) fn list_released(&self) -> impl Iterator<Item = &'a Runner> {
         self.list_unplanned().filter(|runner| runner.membership.is_some() && !is_solo(runner))
     }
@@ -84,7 +86,8 @@
     }
 }
 
-/// The fabric domains of the service, with the runners that can be members there.
+/// Returns a draft for each fabric domain of the service, with the runners that can be members
+/// there.
 pub(crate) fn list_drafts<'a>(snapshot: &Snapshot<'a>) -> Vec<Draft<'a>> {
     let mut runners: BTreeMap<&id::Domain, Vec<&Runner>> = BTreeMap::new();
     for domain in snapshot.plans.keys() {
@@ -103,7 +106,7 @@
     drafts.collect()
 }
 
-/// How far a runner is in a group, if it is in it, and in the place that was planned.
+/// Returns the phase of a runner in a group, if it is a member with the planned rank.
 pub(crate) fn find_phase(runner: &Runner, group: &Group) -> Option<Phase> {
     let membership = runner.membership.as_ref()?;
     let placed = group.members.get(membership.rank) == Some(&runner.id);
@@ -111,7 +114,7 @@
     inside.then_some(membership.phase)
 }
 
-/// How long a runner needs until it holds `model`.
+/// Returns the time that a runner needs until it can serve `model`.
 pub(crate) fn find_join_time(runner: &Runner, model: &Model) -> Millis {
     if runner.has_served(&model.name) {
         Millis(0)
@@ -122,14 +125,13 @@
     }
 }
 
-/// Whether a runner is in the group that it joins on its own, and so in none that
-/// takes requests.
+/// Whether a runner is in its solo group, which takes no requests.
 pub(crate) fn is_solo(runner: &Runner) -> bool {
     runner.membership.as_ref().is_some_and(|place| place.group == name_solo(&runner.id))
 }
 
-/// The group that a runner joins on its own has the runner's id as its name: whatever is
-/// put before that may be too long for a name.
+/// Returns the name of a runner's solo group, which is the runner's id: with a prefix it could be
+/// too long for a name.
 pub(crate) fn name_solo(runner: &id::Runner) -> id::Group {
     runner.as_str().parse().expect("both kinds of names have the same rules")
 }
--- a/crates/fleet/src/staging.rs
+++ b/crates/fleet/src/staging.rs
@@ -1,9 +1,9 @@
-//! Which models are put onto the hosts of runners, so that groups are formed
-//! without a load from the weight store.
+//! Stages models onto the hosts of runners, so that groups form without a load from the weight
+//! store.
 //!
-//! A runner joins a group of the model it served last at once, and one of the model
-//! on its host soon after. So those that have served hold another model on their
-//! hosts, and whatever is lost next, the ones left can take part in either.
+//! A runner joins a group of the model that it served last at once, and a group of the model on its
+//! host soon after. Runners that have served therefore hold another model on their hosts, so that
+//! after a loss the remaining ones can join a group of either.
 
 use cottoncrank::id;
 
@@ -16,15 +16,17 @@
 use crate::snapshot::{Draft, Snapshot, find_join_time};
 use crate::targets::Shortage;
 
-/// While callers are there, a model is put in reserve only where it spares at least this many
-/// runners from standing idle: each such load takes a place at the weight store that repairs need.
+/// While callers are present, a model is staged in reserve only if this saves at least this many
+/// runners from being idle: each such load takes capacity of the weight store that repairs need.
 const MIN_SPARED_RUNNERS: f64 = 0.01;
 
-/// Orders models onto hosts, in this order: the largest model onto members of small
-/// groups that complete what is left of a large one; whole sets for models that lack
-/// groups, worst first, where the fewest loads complete one; onto free runners what
-/// their domain would miss most after a loss; and another model onto the hosts of all
-/// that have served one.
+/// Orders models onto hosts, in this order:
+///
+/// - the largest model onto members of small groups that would complete a large group,
+/// - complete sets for models below their targets, worst first, where the fewest loads complete
+///   one,
+/// - onto free runners, the model whose loss would hurt their domain most,
+/// - a second model onto the hosts of all runners that have served one.
 pub(crate) fn order_staging(
     snapshot: &Snapshot,
     engine: &Engine,
@@ -58,9 +60,9 @@
     stage_second_models(snapshot, models, risk, drafts, repair_headroom, issuer);
 }
 
-/// What bare runners of a domain get: the smallest model of which they make a whole set
-/// beside the spare runners, for that serves wherever a group of it is lost; else what
-/// the domain would miss most.
+/// Returns the model for the empty runners of a domain: the smallest model of which they make a
+/// complete set beside the spare runners, because it can replace any lost group of that model;
+/// otherwise the scarcest model of the domain.
 fn pick_for_empty<'a>(models: &'a [Model], risk: &Risk, stock: &Stock) -> Option<&'a Model> {
     let empty = stock.count_empty();
     let fills = |model: &&Model| stock.count_held(model) + empty >= model.size + risk.count_spares(model);
@@ -68,7 +70,7 @@
     whole.or_else(|| pick_scarcest(models, risk, |model| stock.count_held(model)))
 }
 
-/// The model of which one more runner that holds it spares most idle time.
+/// Returns the model for which one more holder saves the most idle runners.
 fn pick_scarcest<'a>(
     models: impl IntoIterator<Item = &'a Model>,
     risk: &Risk,
@@ -78,14 +80,14 @@
     models.into_iter().max_by(|a, b| count_spared(a).total_cmp(&count_spared(b)))
 }
 
-/// Members of groups that serve, and those left of groups given up.
+/// Returns the reachable members of all groups, serving and retired.
 fn list_members<'a>(snapshot: &Snapshot<'a>, draft: &Draft<'a>) -> Vec<&'a Runner> {
     let members = draft.plan.groups.iter().flat_map(|group| &group.members);
     members.filter_map(|id| snapshot.find(id)).collect()
 }
 
-/// Orders the largest model onto the hosts of up to `wanted` members of small
-/// groups. They serve on; the copy of their own model on their hosts gives way to it.
+/// Orders the largest model onto the hosts of up to `wanted` members of small groups. They continue
+/// to serve; the model replaces the copy of their own model on their hosts.
 fn stage_missing(snapshot: &Snapshot, largest: &Model, draft: &Draft, wanted: usize, issuer: &mut Issuer) {
     let members = list_members(snapshot, draft).into_iter();
     let others = members.filter(|runner| runner.served.is_some() && !runner.has_served(&largest.name));
@@ -100,8 +102,8 @@
     }
 }
 
-/// Orders another model onto the hosts of runners that have served one, where it is
-/// missed most first. `kept_free` loads are left for whatever is lost next.
+/// Orders a second model onto the hosts of runners that have served one, the most valuable first.
+/// Leaves `repair_headroom` loads for the next losses.
 fn stage_second_models(
     snapshot: &Snapshot,
     models: &[Model],
@@ -147,7 +149,7 @@
     }
 }
 
-/// How many members of small groups what is left of a large one needs.
+/// Returns how many members of small groups are needed to complete the rest of a large group.
 fn count_missing(largest: &Model, stock: &Stock) -> usize {
     let held = stock.count_held(largest);
     if 2 * held >= largest.size { largest.size.saturating_sub(held) } else { 0 }
@@ -197,7 +199,7 @@
     }
 }
 
-/// Gives the order, if a load may begin now.
+/// Issues the order if a load may begin now. Returns whether it did.
 fn stage(model: &Model, runner: &Runner, stock: &mut Stock, issuer: &mut Issuer, purpose: Purpose) -> bool {
     let ordered = order_load(model, runner, issuer, purpose);
     if ordered {
@@ -221,11 +223,11 @@
     true
 }
 
-/// A free runner and the models it can join without a load, now or soon.
+/// A free runner and the models that it can join without a load, now or soon.
 struct Row<'a> {
     runner: &'a Runner,
     held: Vec<id::Model>,
-    /// Whether it is still loading one of them: it takes no other order of the kind.
+    /// Whether it is still loading one of them; it takes no other stage order meanwhile.
     staging: bool,
 }
 
@@ -235,11 +237,10 @@
     }
 }
 
-/// The free runners of a domain, with the members of groups given up, which are
-/// free soon.
+/// The free runners of a domain, with the members of retired groups, which are free soon.
 struct Stock<'a> {
     rows: Vec<Row<'a>>,
-    /// Members of groups given up, by model.
+    /// The models of the members of retired groups, one per member.
     returning: Vec<id::Model>,
 }
 
@@ -248,7 +249,7 @@
         let rows = draft.list_free().into_iter().map(|runner| {
             let ordered_model = models.iter().find(|model| issuer.last_staged(runner) == Some(&model.name));
             let staging = ordered_model.is_some_and(|model| find_join_time(runner, model) >= model.load);
-            // What is on the host gives way to what is asked for.
+            // The ordered model replaces the one on the host.
             let holds = |model: &&Model| match ordered_model {
                 Some(ordered_model) => model.name == ordered_model.name || runner.has_served(&model.name),
                 None => find_join_time(runner, model) < model.load,
@@ -279,8 +280,8 @@
         self.rows.iter().find(|row| row.held.is_empty()).map(|row| row.runner)
     }
 
-    /// A runner of another model that has more than its spare ones, and lacks no
-    /// groups: what is left of those waits for what completes it.
+    /// Returns a holder of another model that has more than its spare runners and is not below its
+    /// target: holders of a model below its target wait for the runners that complete a group.
     fn find_surplus(&self, model: &Model, models: &[Model], shortages: &[Shortage]) -> Option<&'a Runner> {
         let lacks = |other: &Model| shortages.iter().any(|shortage| shortage.model.name == other.name);
         let mut others = models.iter().filter(|other| other.name != model.name && !lacks(other));
@@ -289,7 +290,8 @@
         rows.find(|row| !row.staging).map(|row| row.runner)
     }
 
-    /// Runners that do not hold `model` and are not loading another one, bare ones first.
+    /// Returns the runners that do not hold `model` and are not loading another one, empty ones
+    /// first.
     fn list_others(&self, model: &Model) -> Vec<&'a Runner> {
         let other = |row: &&Row| !row.holds(model) && !row.staging;
         let mut others: Vec<&Row> = self.rows.iter().filter(other).collect();
@@ -297,7 +299,7 @@
         others.into_iter().map(|row| row.runner).collect()
     }
 
-    /// Sets a whole set of `model` aside.
+    /// Removes a complete set of holders of `model` from the stock.
     fn reserve(&mut self, model: &Model) {
         for _ in 0..model.size {
             if let Some(at) = self.returning.iter().position(|returning| *returning == model.name) {
