--- a/crates/fleet/src/adopt.rs
+++ b/crates/fleet/src/adopt.rs
@@ -1,9 +1,9 @@
-//! Groups that serve and stand in no plan.
+//! Adoption of groups that serve but are in no plan.
 //!
-//! The load this answers: the store comes back from an older copy, and the node that is elected
-//! next knows no more than that. Runners that stand in groups it has never heard of look like
-//! remains, and to take them apart stops what serves. Epochs are given out in plans before any
-//! order names them: an epoch beyond all plans proves that a plan was lost.
+//! When the store is restored from an older copy, the next decider knows no more than that copy.
+//! Runners in groups that it does not know look like strays, and to dissolve those groups would
+//! interrupt service. Epochs are issued in plans before any order names them, so an epoch beyond
+//! all plans proves that a plan was lost.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -15,16 +15,16 @@
 use crate::runner::{Epoch, Runner};
 use crate::snapshot::name_solo;
 
-/// What lost plans were found to have held.
+/// The reconstructed content of lost plans.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Adoption {
     /// The plans, with the groups that serve.
     pub plans: Vec<(id::Domain, Document)>,
-    /// Domains in which a group is seen in part only.
+    /// Domains in which only some members of a group are seen.
     pub unclear: BTreeSet<id::Domain>,
 }
 
-/// The members of groups of epochs beyond all plans, by rank.
+/// Returns the members, by rank, of groups with epochs beyond all plans.
 fn list_strays<'a>(
     roster: &'a Roster,
     plans: &Plans,
@@ -43,7 +43,7 @@
     strays
 }
 
-/// The group, if all its members are seen.
+/// Returns the group if all its members are seen.
 fn complete(services: &[Service], epoch: Epoch, name: &id::Group, members: &[&Runner]) -> Option<Group> {
     let head = members.first()?;
     let model = head.models.first().or(head.served.as_ref())?;
@@ -62,8 +62,8 @@
     })
 }
 
-/// Finds the groups that stand in no plan, for plans were lost, and adds them. A former group
-/// of their members had been given up before these were formed, and is dropped.
+/// Finds the groups that are in no plan because plans were lost, and adds them. A planned group
+/// that shares a member with one of these was retired before it was formed, and is dropped.
 pub fn adopt(services: &[Service], roster: &Roster, plans: &Plans) -> Adoption {
     let mut found = plans.clone();
     let mut changed = BTreeSet::new();
--- a/crates/fleet/src/census.rs
+++ b/crates/fleet/src/census.rs
@@ -1,5 +1,5 @@
-//! What the groups and runners of a service are doing, counted for the log: it
-//! tells which runners serve nobody, and why.
+//! Counts what the groups and runners of a service are doing, for the log: it shows how many
+//! runners serve no requests, and why.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -18,15 +18,15 @@
     pub model: id::Model,
     /// Groups whose head takes requests.
     pub open: usize,
-    /// Groups that are planned and do not take requests yet.
+    /// Planned groups that do not take requests yet.
     pub forming: usize,
-    /// Groups that are given up, and whose members are still held.
+    /// Retired groups, whose members are still held.
     pub retired: usize,
-    /// Free runners that can join a group of it without a load.
+    /// Free runners that can join a group of the model without a load.
     pub holders: usize,
 }
 
-/// What the groups and runners of a service are doing.
+/// The groups and runners of a service by what they are doing.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Census {
     /// The groups, by model.
@@ -35,11 +35,11 @@
     pub runners: usize,
     /// Members of groups that take requests.
     pub serving: usize,
-    /// Members of groups that do not: these form, or are given up.
+    /// Members of groups that do not take requests, because they are forming or retired.
     pub held: usize,
     /// Runners in no plan that can join a group.
     pub free: usize,
-    /// Runners in no plan that are about to leave, slow or silent.
+    /// Runners in no plan that are draining, slow or silent.
     pub unfit: usize,
 }
 
@@ -84,13 +84,13 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
-            "{} runners: {} serve, {} in groups that do not, {} free, {} unfit",
+            "{} runners: {} serving, {} in groups that do not serve, {} free, {} unfit",
             self.runners, self.serving, self.held, self.free, self.unfit
         )?;
         for row in &self.rows {
             write!(
                 f,
-                "; {}: {} open, {} forming, {} given up, {} free runners hold it",
+                "; {}: {} open, {} forming, {} retired, {} free runners hold the model",
                 row.model, row.open, row.forming, row.retired, row.holders
             )?;
         }
--- a/crates/fleet/src/demand.rs
+++ b/crates/fleet/src/demand.rs
@@ -1,10 +1,9 @@
-//! Which part of the runners each model needs, by the work that callers bring.
+//! The share of the runners that each model needs, from the load of callers.
 //!
-//! The load this answers: operators publish what part of the runners each model is to have,
-//! and callers ask for something else. Then the groups of one model stand nearly idle while
-//! requests for another find all slots taken. What nodes have in flight shows that. Slots
-//! in use say little of engines that mostly read prompts, so only a clear difference counts;
-//! up to that the published parts hold.
+//! Operators publish a share for each model, but callers may ask for something else. Then the
+//! groups of one model are nearly idle while requests for another find all slots taken. The
+//! requests in flight show that. Slots in use say little about engines that mostly read prompts, so
+//! only a clear difference counts; below that the published shares apply.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -13,55 +12,55 @@
 
 use crate::catalog::Model;
 
-/// The part of its slots in use may differ from one model to another by this factor: one
-/// that reads long prompts and writes short answers is as busy with half of the slots.
+/// The utilization of two models may differ by this factor: a model that reads long prompts and
+/// writes short answers is as busy with half of its slots in use.
 const MAX_UTILIZATION_RATIO: f64 = 2.0;
 
-/// Where no model has more than this part of its slots in use, nobody waits for room.
+/// If no model has a higher utilization than this, no request waits for a slot.
 const MIN_PRESSURE_UTILIZATION: f64 = 0.5;
 
-/// From this part on, the difference counts in full.
+/// From this utilization on, the difference counts in full.
 const FULL_PRESSURE_UTILIZATION: f64 = 0.7;
 
-/// No model gives so much that its groups would have more than this part of their slots in
-/// use: what is left must bear the loss of some of them.
+/// No model gives up so many runners that its groups would exceed this utilization, because the
+/// rest must bear the loss of some of them.
 const MAX_DONOR_UTILIZATION: f64 = 0.3;
 
-/// What is in flight is averaged over about this time, in milliseconds: four times what a
-/// short burst lasts, and half of what a load from the weight store takes.
+/// The time constant of the moving average of utilization, in milliseconds: four times the length
+/// of a short burst, and half the duration of a load from the weight store.
 const SMOOTHING_TIME: f64 = 8000.0;
 
-/// Nothing follows from what was seen for less than this.
+/// Shares are not adjusted before utilization has been observed for this long.
 const MIN_OBSERVATION: Millis = Millis(5000);
 
-/// Parts are told anew once one has moved by this: half a group of sixteen in two hundred
-/// runners.
+/// Shares are logged again once one has changed by this much: half a group of sixteen in two
+/// hundred runners.
 const MIN_LOGGED_CHANGE: f64 = 0.04;
 
-/// What the deciding node has seen of how busy the groups of each model are.
+/// The utilization of the groups of each model as the planner observed it.
 #[derive(Clone, Debug, Default)]
 pub struct Demand {
-    /// The part of the slots in use, by model.
+    /// The average utilization of slots, by model.
     utilization: HashMap<id::Model, f64>,
-    /// When it was first and last noted.
+    /// The times of the first and the last observation.
     observed: Option<(Millis, Millis)>,
 }
 
-/// Which part of the runners a model is to have, and why.
+/// The share of the runners that a model needs, and why.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Share {
     /// The model.
     pub model: id::Model,
-    /// What operators published, 0 to 1.
+    /// The share that operators published, 0 to 1.
     pub published: f64,
-    /// What it is to have, 0 to 1.
+    /// The share that the model needs, 0 to 1.
     pub needed: f64,
-    /// The part of its slots in use, if it had open groups.
+    /// The utilization of its slots, if it had open groups.
     pub utilization: Option<f64>,
 }
 
 impl Share {
-    /// Whether what it is to have differs from `other` by enough to say so.
+    /// Whether the needed share differs from that of `other` enough to be logged.
     pub fn differs(&self, other: &Share) -> bool {
         self.model != other.model || (self.needed - other.needed).abs() >= MIN_LOGGED_CHANGE
     }
@@ -79,8 +78,8 @@
 }
 
 impl Demand {
-    /// Takes in which part of the slots of each model is in use at `now`. A model without
-    /// open groups has none.
+    /// Records the utilization of the slots of each model at `now`. A model without open groups has
+    /// none.
     pub fn record(&mut self, utilization: impl IntoIterator<Item = (id::Model, f64)>, now: Millis) {
         let (first, last) = self.observed.unwrap_or((now, now));
         let weight = 1.0 - (-(now.since(last).0 as f64) / SMOOTHING_TIME).exp();
@@ -91,9 +90,9 @@
         self.observed = Some((first, now));
     }
 
-    /// The models with the parts that they need. The parts of those that are clearly less
-    /// busy than the busiest one shrink, until they would be half as busy.
-    /// Callers of the busy model would wait while groups of the other one stand idle.
+    /// Returns the models with the shares that they need. The shares of models that are clearly
+    /// less busy than the busiest one shrink until they would be half as busy. Otherwise callers of
+    /// the busy model would wait while groups of another one are idle.
     pub fn adjust(&self, models: &[Model]) -> Vec<Model> {
         let mut adjusted = models.to_vec();
         let highest =
@@ -119,7 +118,7 @@
         adjusted
     }
 
-    /// The parts of all models, for the log.
+    /// Returns the shares of all models, for the log.
     pub fn list_shares(&self, models: &[Model]) -> Vec<Share> {
         let adjusted = self.adjust(models);
         let shares = models.iter().zip(adjusted).map(|(published, needed)| Share {
--- a/crates/fleet/src/loads.rs
+++ b/crates/fleet/src/loads.rs
@@ -1,4 +1,4 @@
-//! How many runners may begin to load a model from the shared weight store.
+//! Limits how many runners may begin to load a model from the shared weight store.
 
 use std::collections::VecDeque;
 
@@ -7,34 +7,34 @@
 use crate::catalog::Engine;
 use crate::settings::Ceiling;
 
-/// Kept below the ceiling for orders that are carried out later than given.
+/// Loads kept below the ceiling, for orders that are executed later than issued.
 const LATE_ORDER_MARGIN: f64 = 1.5;
 
-/// The ceiling allows this many loads beyond its rate in each window.
+/// The ceiling allows this many loads in each window beyond its rate.
 const BURST_ALLOWANCE: f64 = 3.0;
 
-/// Loads begun before callers come take this many times less, as the platform says.
+/// Loads that begin before callers arrive are faster by this factor, by the platform's contract.
 const PRE_SERVING_SPEEDUP: u64 = 10;
 
-/// What a load is for.
+/// The purpose of a load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Purpose {
-    /// It brings a group nearer that callers need now.
+    /// It helps to form a group that callers need now.
     Repair,
-    /// It is for a loss that may come.
+    /// It prepares for a possible loss.
     Reserve,
 }
 
-/// Loads begun lately, as far as this node ordered them.
+/// Recent loads that this node ordered.
 #[derive(Clone, Debug, Default)]
 pub struct Loads {
-    /// When each was begun, and when it should be over.
+    /// The start, the expected end and the purpose of each load.
     started: VecDeque<(Millis, Millis, Purpose)>,
 }
 
 impl Loads {
-    /// How many loads may begin at `now`. While callers are `serving`, no more
-    /// than run at full speed side by side: more would delay them all.
+    /// Returns how many loads may begin at `now`. While callers are `serving`, no more loads run at
+    /// once than the weight store serves at full speed, because more would delay them all.
     pub fn count_allowed(
         &self,
         now: Millis,
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Loads begin at `now` that take `time` while callers are `serving`.
+    /// Records loads that begin at `now` and take `time` while callers are `serving`.
     pub fn record_started(
         &mut self,
         now: Millis,
@@ -69,7 +69,7 @@
         self.started.extend(std::iter::repeat_n((now, now + time, purpose), count));
     }
 
-    /// Forgets loads that are over and outside the window.
+    /// Drops loads that have ended and are outside the window.
     pub fn prune(&mut self, now: Millis, ceiling: &Ceiling) {
         self.started.retain(|(started, ends, _)| now < *ends || now < *started + ceiling.window);
     }
--- a/crates/fleet/src/loss.rs
+++ b/crates/fleet/src/loss.rs
@@ -41,7 +41,7 @@
             Some(Loss::lost(format!("member {member} has started again")))
         }
         Some(runner) if open && find_phase(runner, group).is_none() => {
-            Some(Loss::lost(format!("member {member} is in the group no more")))
+            Some(Loss::lost(format!("member {member} is no longer in the group")))
         }
         Some(runner) => find_fault(snapshot, group, runner),
         None => find_absence(snapshot, group, member, open),
@@ -60,7 +60,7 @@
 }
 
 fn find_rejection(snapshot: &Snapshot, group: &Group, memory: &Memory) -> Option<Loss> {
-    let reason = || format!("its head {} turns requests away", group.members[0]);
+    let reason = || format!("its head {} rejects requests", group.members[0]);
     is_rejecting_all(snapshot, group, memory).then(|| Loss { state: State::Closing, reason: reason() })
 }
 
@@ -74,9 +74,9 @@
         return Some(Loss::lost(format!("member {id} is slow")));
     }
     if find_phase(runner, group) == Some(Phase::Broken) {
-        return Some(Loss::lost(format!("member {id} says that the group is broken")));
+        return Some(Loss::lost(format!("member {id} reports that the group is broken")));
     }
-    let leaving = || Loss { state: State::Closing, reason: format!("member {id} is about to leave") };
+    let leaving = || Loss { state: State::Closing, reason: format!("member {id} is draining") };
     runner.draining.then(leaving)
 }
 
@@ -89,7 +89,7 @@
         Health::Responsive => {
             Some(Loss { state: State::Closing, reason: format!("the entry of {member} is gone") })
         }
-        Health::Slow => Some(Loss::lost(format!("the entry of {member} is gone, and it is slow"))),
+        Health::Slow => Some(Loss::lost(format!("the entry of {member} is gone and it is slow"))),
         Health::Silent => Some(Loss::lost(format!("member {member} is gone and does not answer"))),
         Health::Unknown if snapshot.probes.is_pending(member) => None,
         Health::Unknown => Some(Loss::lost(format!("member {member} is gone"))),
--- a/crates/fleet/src/plan.rs
+++ b/crates/fleet/src/plan.rs
@@ -1,5 +1,5 @@
-//! Which runner is meant for which group: one document a fabric domain, kept
-//! in the platform's store so that any node can take the decisions over.
+//! The placement of groups on runners: one plan for each fabric domain, kept in the store so that
+//! any node can take over as decider.
 
 use std::collections::{BTreeMap, HashSet};
 
@@ -9,56 +9,56 @@
 
 use crate::runner::{Epoch, Life};
 
-/// A group as planned.
+/// A planned group.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Group {
-    /// Its name.
+    /// The name.
     pub name: id::Group,
-    /// Which forming of it.
+    /// The number of this formation of the group.
     pub epoch: Epoch,
-    /// The service it belongs to.
+    /// The service that it belongs to.
     pub service: id::Service,
-    /// The model it serves.
+    /// The model that it serves.
     pub model: id::Model,
-    /// Its members by rank; the first is the head.
+    /// The members by rank; the first is the head.
     pub members: Vec<id::Runner>,
-    /// What is meant to become of it.
+    /// The desired state.
     pub state: State,
-    /// Whether it is given up and a member is known to be away, so that it stands still.
+    /// Whether the group is stalled: it is retired, and a member is known to be unreachable.
     #[serde(default)]
     pub still: bool,
-    /// The lives of its members by rank, as they were known when it was planned: a member
-    /// that has started again is in no group, though its id is the same. Nodes that
-    /// knew no lives wrote none.
+    /// The incarnations of the members by rank, as known when the group was planned: a member that
+    /// has restarted is in no group, though its id is the same. Plans of nodes that knew no
+    /// incarnations have none.
     #[serde(default)]
     pub lives: Vec<Option<Life>>,
 }
 
-/// What is meant to become of a group.
+/// The desired state of a group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum State {
-    /// It is to serve.
+    /// It should serve.
     Active,
-    /// A member is about to leave: it takes no more and finishes what it has. Its
-    /// members are held until its head surely takes nothing any more.
+    /// A member is about to leave: the group takes no more requests and finishes those that it has.
+    /// Its members are held until the head certainly takes no more requests.
     Closing,
-    /// It cannot finish what it has. Its members are held in the same way.
+    /// The group cannot finish its requests. Its members are held in the same way.
     Lost,
 }
 
 impl Group {
-    /// Whether it is given up, in either way.
+    /// Whether the group is retired, closing or lost.
     pub fn is_retired(&self) -> bool {
         self.state != State::Active
     }
 
-    /// The life in which a member was planned, where that was known.
+    /// Returns the incarnation with which a member was planned, if it was known.
     pub fn find_incarnation(&self, member: &id::Runner) -> Option<Life> {
         let rank = self.members.iter().position(|id| id == member)?;
         *self.lives.get(rank)?
     }
 
-    /// The member that takes the requests.
+    /// Returns the member that takes the requests.
     pub fn head(&self) -> Option<&id::Runner> {
         self.members.first()
     }
@@ -67,32 +67,33 @@
 /// The plan of one fabric domain.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Document {
-    /// The highest epoch ever given out here.
+    /// The highest epoch ever issued in the domain.
     pub top: Epoch,
     /// The groups.
     pub groups: Vec<Group>,
-    /// How often it was written: of two, the later one has more, also where the store has come
-    /// back from an older copy.
+    /// How often the plan was written. Of two plans the later one has the higher version, even
+    /// after the store has been restored from an older copy.
     #[serde(default)]
     pub version: u64,
 }
 
-/// Why a document is no plan, though it can be decoded.
+/// Why a decoded plan is invalid.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum PlanError {
-    /// A group has nobody in it.
+    /// A group has no members.
     #[error("group {0} has no members")]
     Empty(id::Group),
-    /// A runner is in two places.
+    /// A runner is in two groups, or in one twice.
     #[error("runner {0} is planned twice")]
     Duplicate(id::Runner),
-    /// An epoch is beyond those given out.
-    #[error("group {0} is of an epoch that was not given out")]
+    /// A group has an epoch that was not issued.
+    #[error("group {0} has an epoch that was not issued")]
     Epoch(id::Group),
 }
 
 impl Document {
-    /// Whether this is a plan: each group has members, and each runner one place.
+    /// Checks that each group has members and an issued epoch, and that each runner is planned
+    /// once.
     pub fn check(&self) -> Result<(), PlanError> {
         let mut seen = HashSet::new();
         for group in &self.groups {
@@ -113,7 +114,7 @@
 /// The plans of all fabric domains.
 pub type Plans = BTreeMap<id::Domain, Document>;
 
-/// What is meant to become of a forming of a group; none if it is not planned.
+/// Returns the desired state of a formation of a group, or none if it is not planned.
 pub fn find_state(plans: &Plans, name: &id::Group, epoch: Epoch) -> Option<State> {
     let mut groups = plans.values().flat_map(|plan| &plan.groups);
     groups.find(|group| group.name == *name && group.epoch == epoch).map(|group| group.state)
--- a/crates/fleet/src/probe.rs
+++ b/crates/fleet/src/probe.rs
@@ -1,5 +1,4 @@
-//! Which runners answer and which do not, from questions put to all members of
-//! groups in rounds.
+//! Health of runners, from rounds of probes to all members of groups.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 
@@ -7,56 +6,55 @@
 
 use crate::runner::{Life, is_later};
 
-/// Questions in a row without an answer after which a runner counts as silent.
+/// The number of consecutive probes without an answer after which a runner counts as silent, and
+/// the number of probes that a conclusion needs.
 pub const MIN_MISSES: u32 = 2;
 
-/// Where more than this part of a data hall is silent at once, the way there is
-/// taken to be cut, and nothing is concluded. A fabric domain, half of a hall of
-/// today, can go dark as a whole.
+/// If more than this fraction of a data hall is silent at once, the network path there is taken to
+/// be cut, and nothing is concluded about its runners. A whole fabric domain, half of a present
+/// hall, can fail at once.
 pub const CUT_HALL_RATIO: f64 = 0.7;
 
-/// A runner that works this many times slower than usual is slow. A group runs at
-/// the pace of its slowest member; at twice its time per token, pauses between
-/// events come near what still counts as in time.
+/// A runner that works this many times slower than usual is slow. A group is as fast as its slowest
+/// member; at twice its time per token, pauses between events come close to the limit.
 pub const SLOW_FACTOR: f64 = 2.0;
 
-/// What a question to a runner brought.
+/// The result of a probe.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Observation {
-    /// It answered, and works this many times slower than usual.
+    /// The runner answered and works this many times slower than usual.
     Pace(f64),
     /// No answer came.
     Silent,
-    /// Another runner answered at its address: the one that was meant is no more.
+    /// Another runner answered at the address: the process of the probed one has ended.
     Gone,
 }
 
-/// The answers of one runner to one round.
+/// The answers of one runner in one round.
 #[derive(Clone, Debug)]
 pub struct Answer {
     /// The runner.
     pub runner: id::Runner,
-    /// The data hall it stands in.
+    /// The data hall of the runner.
     pub hall: id::Hall,
-    /// What it said, to the last question of the round.
+    /// The result of the last probe of the round.
     pub reported: Observation,
-    /// In which life it answered, where it said so.
+    /// The incarnation that answered, if the runner reported it.
     pub incarnation: Option<Life>,
-    /// How many questions were put to it.
+    /// The number of probes in the round.
     pub asked: u32,
 }
 
-/// What is known of a runner from its answers.
+/// The health of a runner, as far as it is known from its answers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Health {
-    /// It answered lately.
+    /// It answered recently.
     Responsive,
-    /// It answered lately, and works slowly.
+    /// It answered recently and works slowly.
     Slow,
     /// It does not answer.
     Silent,
-    /// Nothing can be concluded: it was not asked often enough, or the way to its
-    /// hall is cut.
+    /// Nothing can be concluded: there were not enough probes, or the path to its hall is cut.
     Unknown,
 }
 
@@ -65,15 +63,15 @@
     hall: id::Hall,
     misses: u32,
     asked: u32,
-    /// Answers in a row in which it was slow.
+    /// The number of consecutive answers in which it was slow.
     slow: u32,
     /// Whether another runner has answered at its address.
     gone: bool,
-    /// The life in which it answered last.
+    /// The incarnation that answered last.
     incarnation: Option<Life>,
 }
 
-/// What rounds of questions have shown so far.
+/// The results of all rounds of probes so far.
 #[derive(Clone, Debug, Default)]
 pub struct Probes {
     records: HashMap<id::Runner, Record>,
@@ -82,7 +80,7 @@
 }
 
 impl Probes {
-    /// What is known of a runner.
+    /// Returns the health of a runner.
     pub fn health(&self, runner: &id::Runner) -> Health {
         match self.records.get(runner) {
             Some(record) if record.asked >= MIN_MISSES && !self.cut.contains(&record.hall) => {
@@ -101,7 +99,8 @@
         self.health(runner) == Health::Silent
     }
 
-    /// Whether a runner is known to be no more: not cut off, and not running any request.
+    /// Whether a runner's process is known to have ended, so that it is not just cut off and runs
+    /// no request.
     pub fn is_gone(&self, runner: &id::Runner) -> bool {
         self.records.get(runner).is_some_and(|record| record.gone)
     }
@@ -111,13 +110,13 @@
         self.health(runner) == Health::Slow
     }
 
-    /// The runners that are slow.
+    /// Returns the slow runners.
     pub fn list_slow(&self) -> Vec<id::Runner> {
         self.records.keys().filter(|runner| self.is_slow(runner)).cloned().collect()
     }
 
-    /// Whether more can be known soon: the way to the runner's hall is cut, or it
-    /// has not been asked often enough.
+    /// Whether more may be known soon: the path to the runner's hall is cut, or there were not
+    /// enough probes yet.
     pub fn is_pending(&self, runner: &id::Runner) -> bool {
         match self.records.get(runner) {
             Some(record) => record.asked < MIN_MISSES || self.cut.contains(&record.hall),
@@ -125,14 +124,14 @@
         }
     }
 
-    /// Takes a round in, and forgets runners that were not asked in it. Returns
-    /// those that have just become silent.
+    /// Records a round and drops runners that were not probed in it. Returns the runners that have
+    /// just become silent.
     pub fn record_round(&mut self, round: &[Answer]) -> Vec<id::Runner> {
         let silent_before: HashSet<id::Runner> =
             self.records.keys().filter(|runner| self.is_silent(runner)).cloned().collect();
         let records = round.iter().map(|answer| {
             let previous = self.records.get(&answer.runner);
-            // What was seen of a former life says nothing of this one.
+            // Results of a former incarnation say nothing about this one.
             let previous = previous.filter(|record| !is_later(answer.incarnation, record.incarnation));
             let (misses, slow) = previous.map_or((0, 0), |record| (record.misses, record.slow));
             let gone = previous.is_some_and(|record| record.gone) || answer.reported == Observation::Gone;
--- a/crates/fleet/src/settings.rs
+++ b/crates/fleet/src/settings.rs
@@ -1,4 +1,4 @@
-//! What a node is told of itself and of its surroundings when it starts.
+//! The settings of a node at its start.
 
 use std::net::SocketAddr;
 
@@ -9,51 +9,51 @@
 /// The settings of a node.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Its name.
+    /// The name of the node.
     pub node: id::Node,
-    /// The data hall it stands in.
+    /// The data hall of the node.
     pub hall: id::Hall,
-    /// Where callers reach it.
+    /// The address for callers.
     pub callers: SocketAddr,
-    /// Where the balancer asks whether it takes callers.
+    /// The address at which the balancer asks whether the node takes callers.
     pub ready: SocketAddr,
-    /// Where other nodes reach it.
+    /// The address for other nodes.
     pub peers: SocketAddr,
-    /// The store.
+    /// The address of the store.
     pub store: SocketAddr,
-    /// How much processor time the node may use.
+    /// The processor time that the node may use.
     pub processor: Processor,
     /// Whether the whole system starts for the first time.
     pub first_start: bool,
-    /// The shortest lease the store gives.
+    /// The shortest lease that the store grants.
     pub lease_min: Millis,
-    /// The bounds it has to keep.
+    /// The bounds that the node must keep.
     pub bounds: Bounds,
 }
 
-/// What the operators hold a node to.
+/// The bounds that operators set for a node.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Bounds {
-    /// A key that was taken away is honoured no longer than this, also by a node cut
-    /// off from the store. None where such a node may go on with the keys it knows.
+    /// The time after which a revoked key is no longer accepted, also by a node that is cut off
+    /// from the store. None if such a node may continue with the keys that it knows.
     pub revoke: Option<Millis>,
-    /// A process that is told to stop is killed after this.
+    /// The time after which a process that was told to stop is killed.
     pub grace: Millis,
-    /// A group that lacks a member stands still for this long and is broken then.
+    /// The time after which a stalled group, which lacks a member, is broken.
     pub stall: Millis,
-    /// A configuration that was accepted is in force everywhere within this.
+    /// The time within which an accepted configuration applies everywhere.
     pub apply: Millis,
-    /// How fast runners may load from the shared weight store.
+    /// The limit on the rate of loads from the shared weight store.
     pub ceiling: Ceiling,
-    /// How many requests may be sent again, as a ratio of all.
+    /// The retries allowed, as a ratio of all requests.
     pub retry_ratio: f64,
-    /// How many more the whole fleet may send again in a window.
+    /// The further retries that the whole fleet may make in a window.
     pub retry_slack: f64,
     /// The length of the window.
     pub retry_window: Millis,
 }
 
-/// How many loads may begin in any window, against the rate of the weight store.
+/// How many loads may begin in any window, relative to the rate of the weight store.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Ceiling {
     /// The length of the window.
--- a/crates/fleet/src/stall.rs
+++ b/crates/fleet/src/stall.rs
@@ -1,9 +1,9 @@
-//! Since when groups that were given up stand still, as every node has seen it.
+//! Since when retired groups are stalled, as each node has read it.
 //!
-//! Members of a group whose head cannot be asked are held until the group must have
-//! broken. Boxes are stopped one after the other at times, and each new decider that
-//! began to wait anew would hold them for as long as that lasts. So the plan says that a
-//! group stands still, and each node notes when it read that: later than it was true.
+//! Members of a group whose head cannot be reached are held until the group must have broken. In a
+//! rolling restart boxes stop one after the other, and if each new decider started to wait again,
+//! the members would be held for that whole time. So the plan says that a group is stalled, and
+//! each node records when it first read that, which is later than the group stalled.
 
 use std::collections::{HashMap, HashSet};
 
@@ -12,12 +12,12 @@
 use crate::plan::Plans;
 use crate::runner::Epoch;
 
-/// When this node first read of groups that they stand still.
+/// When this node first read that groups are stalled.
 #[derive(Clone, Debug, Default)]
 pub struct Stalls(HashMap<(id::Group, Epoch), Millis>);
 
 impl Stalls {
-    /// The plans are these at `now`.
+    /// Updates the times from the plans as of `now`.
     pub fn update(&mut self, plans: &Plans, now: Millis) {
         let groups = plans.values().flat_map(|plan| &plan.groups).filter(|group| group.still);
         let stalled: HashSet<(id::Group, Epoch)> =
@@ -28,7 +28,7 @@
         }
     }
 
-    /// All of them.
+    /// Returns all stalled groups with their times.
     pub(crate) fn list(&self) -> HashMap<(id::Group, Epoch), Millis> {
         self.0.clone()
     }
--- a/crates/fleet/src/targets.rs
+++ b/crates/fleet/src/targets.rs
@@ -1,24 +1,24 @@
-//! How many groups of each model are meant to be, and how many runners stand by.
+//! The target number of groups of each model.
 
 use crate::catalog::Model;
 use crate::reserve::Risk;
 use crate::snapshot::Draft;
 
-/// One more group is meant to be where a model's share falls short of it by no more
-/// than the rest of this: a fleet that loses a few runners gives none up, and one with
-/// half of a group's runners too few does not try for it.
+/// A target is rounded up if the model's share falls short of the next group by no more than the
+/// rest of this: a fleet that loses a few runners gives up no group, and one that lacks half of a
+/// group's runners does not try to form it.
 const ROUND_UP_MARGIN: f64 = 0.4;
 
-/// A model that has fewer groups than it is meant to have.
+/// A model with fewer groups than its target.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Shortage<'a> {
     pub(crate) model: &'a Model,
-    /// How many groups are missing.
+    /// The number of missing groups.
     pub(crate) groups: usize,
 }
 
-/// How many groups of each model there are meant to be. The smallest model gets what
-/// the others leave beside the spare runners, and its own share at the least.
+/// Returns the target number of groups of each model. The smallest model gets what the others leave
+/// beside the spare runners, and at least its own share.
 pub(crate) fn list_targets(models: &[Model], drafts: &[Draft], risk: &Risk) -> Vec<f64> {
     let spares: usize = models.iter().map(|model| risk.count_spares(model)).sum();
     let placeable: usize = drafts.iter().map(|draft| draft.runners.len().saturating_sub(spares)).sum();
@@ -43,7 +43,7 @@
     targets
 }
 
-/// How many groups of each model there are, as planned and not given up.
+/// Returns the number of groups of each model that are planned and not retired.
 pub(crate) fn count_active(models: &[Model], drafts: &[Draft]) -> Vec<usize> {
     let count = |model: &Model| {
         let groups = drafts.iter().flat_map(|draft| &draft.plan.groups);
@@ -52,8 +52,7 @@
     models.iter().map(count).collect()
 }
 
-/// The models of which there are fewer groups than there are meant to be, that
-/// which has the smallest part of them first.
+/// Returns the models below their targets, starting with the one furthest below.
 pub(crate) fn list_shortages<'a>(models: &'a [Model], drafts: &[Draft], risk: &Risk) -> Vec<Shortage<'a>> {
     let targets = list_targets(models, drafts, risk);
     let active = count_active(models, drafts);
--- a/crates/fleet/tests/census.rs
+++ b/crates/fleet/tests/census.rs
@@ -96,7 +96,7 @@
     let row = &census.rows[0];
     assert_eq!((row.open, row.forming, row.retired, row.holders), (1, 1, 1, 1));
     let text = census.to_string();
-    let wanted = "9 runners: 2 serve, 4 in groups that do not, 2 free, 1 unfit; \
-                  m: 1 open, 1 forming, 1 given up, 1 free runners hold it";
+    let wanted = "9 runners: 2 serving, 4 in groups that do not serve, 2 free, 1 unfit; \
+                  m: 1 open, 1 forming, 1 retired, 1 free runners hold the model";
     assert_eq!(text, wanted);
 }
