--- a/crates/fleet/src/adopt.rs
+++ b/crates/fleet/src/adopt.rs
@@ -21,7 +21,7 @@
     /// The plans, with the groups that serve.
     pub plans: Vec<(id::Domain, Document)>,
     /// Domains in which only some members of a group are seen.
-    pub unclear: BTreeSet<id::Domain>,
+    pub incomplete: BTreeSet<id::Domain>,
 }
 
 /// Returns the members, by rank, of groups with epochs beyond all plans.
@@ -44,7 +44,7 @@
 }
 
 /// Returns the group if all its members are seen.
-fn complete(services: &[Service], epoch: Epoch, name: &id::Group, members: &[&Runner]) -> Option<Group> {
+fn find_complete(services: &[Service], epoch: Epoch, name: &id::Group, members: &[&Runner]) -> Option<Group> {
     let head = members.first()?;
     let model = head.models.first().or(head.served.as_ref())?;
     let service = services.iter().find(|service| service.id == head.service)?;
@@ -67,10 +67,10 @@
 pub fn adopt(services: &[Service], roster: &Roster, plans: &Plans) -> Adoption {
     let mut found = plans.clone();
     let mut changed = BTreeSet::new();
-    let mut unclear = BTreeSet::new();
+    let mut incomplete = BTreeSet::new();
     for ((domain, epoch, name), members) in list_strays(roster, plans) {
-        let Some(group) = complete(services, epoch, name, &members) else {
-            unclear.insert(domain.clone());
+        let Some(group) = find_complete(services, epoch, name, &members) else {
+            incomplete.insert(domain.clone());
             continue;
         };
         let plan = found.entry(domain.clone()).or_default();
@@ -80,5 +80,5 @@
         changed.insert(domain.clone());
     }
     found.retain(|domain, _| changed.contains(domain));
-    Adoption { plans: found.into_iter().collect(), unclear }
+    Adoption { plans: found.into_iter().collect(), incomplete }
 }
--- a/crates/fleet/src/form.rs
+++ b/crates/fleet/src/form.rs
@@ -23,8 +23,8 @@
 /// fraction of the model's target.
 const NO_SPARES_PENALTY: f64 = 0.6;
 
-/// The same penalty for each group of the model that the domain already has, because the loss of
-/// the domain would take them all.
+/// A group is worth less by this fraction of the model's target for each group of the model that
+/// its domain already has, because the loss of the domain would take them all.
 const CROWDING_PENALTY: f64 = 0.05;
 
 /// A complete set of free runners that hold the largest model takes precedence over all other
--- a/crates/fleet/src/memory.rs
+++ b/crates/fleet/src/memory.rs
@@ -91,12 +91,12 @@
 
     /// Records that a runner acknowledged an order as done or begun at `now`.
     ///
-    /// `life` is the incarnation that the order was sent to. An acknowledgement of a former
+    /// `incarnation` is the one that the order was sent to. An acknowledgement of a former
     /// incarnation does not count for the current one, which knows nothing of the order.
     pub fn record_acknowledged(
         &mut self,
         runner: &id::Runner,
-        life: Option<Life>,
+        incarnation: Option<Life>,
         order: &Order,
         now: Millis,
     ) {
@@ -105,7 +105,7 @@
             self.stalled_since.entry((group.clone(), *epoch)).or_insert(now);
         }
         let current = self.incarnations.get(runner).copied();
-        if !is_later(current, life) {
+        if !is_later(current, incarnation) {
             self.acknowledged.insert((runner.clone(), order.clone()));
         }
     }
--- a/crates/fleet/src/staging.rs
+++ b/crates/fleet/src/staging.rs
@@ -121,8 +121,8 @@
             list_members(snapshot, draft).into_iter().chain(draft.list_free()).collect();
         let holds = |runner: &Runner, model: &Model| {
             let staged = runner.staged.contains(&model.name);
-            let ordered_model = issuer.last_staged(runner) == Some(&model.name);
-            (staged || ordered_model) && !runner.has_served(&model.name)
+            let ordered = issuer.last_staged(runner) == Some(&model.name);
+            (staged || ordered) && !runner.has_served(&model.name)
         };
         let count = |model: &Model| runners.iter().filter(|runner| holds(runner, model)).count();
         let mut held: Vec<usize> = models.iter().map(count).collect();
@@ -173,7 +173,7 @@
                 return;
             }
         }
-        stock.reserve(model);
+        stock.remove_set(model);
     }
 }
 
@@ -300,7 +300,7 @@
     }
 
     /// Removes a complete set of holders of `model` from the stock.
-    fn reserve(&mut self, model: &Model) {
+    fn remove_set(&mut self, model: &Model) {
         for _ in 0..model.size {
             if let Some(at) = self.returning.iter().position(|returning| *returning == model.name) {
                 self.returning.swap_remove(at);
--- a/crates/fleet/src/stall.rs
+++ b/crates/fleet/src/stall.rs
@@ -1,9 +1,9 @@
 //! Since when retired groups are stalled, as each node has read it.
 //!
-//! Members of a group whose head cannot be reached are held until the group must have broken. In a
-//! rolling restart boxes stop one after the other, and if each new decider started to wait again,
-//! the members would be held for that whole time. So the plan says that a group is stalled, and
-//! each node records when it first read that, which is later than the group stalled.
+//! Members of a group whose head cannot be reached are held until the group must have broken. At
+//! times boxes are stopped one after the other, and if each new decider started to wait again, the
+//! members would be held for that whole time. So the plan says that a group is stalled, and each
+//! node records when it first read that, which is later than the group stalled.
 
 use std::collections::{HashMap, HashSet};
 
--- a/crates/fleet/src/targets.rs
+++ b/crates/fleet/src/targets.rs
@@ -4,9 +4,9 @@
 use crate::reserve::Risk;
 use crate::snapshot::Draft;
 
-/// A target is rounded up if the model's share falls short of the next group by no more than the
-/// rest of this: a fleet that loses a few runners gives up no group, and one that lacks half of a
-/// group's runners does not try to form it.
+/// Added to a model's share, in groups, before it is rounded down, so that a share that falls short
+/// of one more group by no more than this gets it: a fleet that loses a few runners gives up no
+/// group, and one that lacks half of a group's runners does not try to form it.
 const ROUND_UP_MARGIN: f64 = 0.4;
 
 /// A model with fewer groups than its target.
--- a/crates/fleet/tests/adopt.rs
+++ b/crates/fleet/tests/adopt.rs
@@ -21,7 +21,7 @@
 fn groups_in_no_plan_are_adopted_as_they_stand() {
     let world = at_rest(3);
     let adoption = find(&world, &Plans::new());
-    assert!(adoption.unclear.is_empty(), "{adoption:?}");
+    assert!(adoption.incomplete.is_empty(), "{adoption:?}");
     assert_eq!(adoption.plans.len(), world.plans.len());
     for (domain, found) in &adoption.plans {
         let planned = &world.plans[domain];
@@ -63,7 +63,7 @@
     assert!(world.groups().any(|group| group.members.contains(&missing)));
     world.roster.remove(&missing, world.now);
     let adoption = find(&world, &Plans::new());
-    assert_eq!(adoption.unclear.len(), 1, "{adoption:?}");
+    assert_eq!(adoption.incomplete.len(), 1, "{adoption:?}");
     let whole = adoption.plans.iter().flat_map(|(_, plan)| &plan.groups);
     assert!(whole.clone().count() > 0);
     assert!(whole.clone().all(|group| !group.members.contains(&missing)));
--- a/crates/node/src/decider.rs
+++ b/crates/node/src/decider.rs
@@ -260,12 +260,12 @@
     fn adopt(&mut self) -> Vec<(id::Domain, Document, Vec<String>)> {
         let Some(catalog) = self.node.catalog.lock().clone() else { return Vec::new() };
         let adoption = adopt(&catalog.services, &self.node.roster.lock(), &self.plans.list_documents());
-        for domain in &adoption.unclear {
+        for domain in &adoption.incomplete {
             log::warn!(
                 "decider: {domain}: a group is seen in part that stands in no plan; nothing is decided there"
             );
         }
-        self.plans.closed.extend(adoption.unclear);
+        self.plans.closed.extend(adoption.incomplete);
         let plans = adoption.plans.into_iter().filter(|(domain, _)| !self.plans.closed.contains(domain));
         let reason = || vec!["adopt groups that serve, the store had lost their plan".to_owned()];
         let plans: Vec<_> = plans.map(|(domain, document)| (domain, document, reason())).collect();
