--- a/crates/fleet/src/staging.rs
+++ b/crates/fleet/src/staging.rs
@@ -121,8 +121,8 @@
             list_members(snapshot, draft).into_iter().chain(draft.list_free()).collect();
         let holds = |runner: &Runner, model: &Model| {
             let staged = runner.staged.contains(&model.name);
-            let ordered = issuer.last_staged(runner) == Some(&model.name);
-            (staged || ordered) && !runner.has_served(&model.name)
+            let is_ordered = issuer.last_staged(runner) == Some(&model.name);
+            (staged || is_ordered) && !runner.has_served(&model.name)
         };
         let count = |model: &Model| runners.iter().filter(|runner| holds(runner, model)).count();
         let mut held: Vec<usize> = models.iter().map(count).collect();
