--- a/crates/fleet/src/adopt.rs
+++ b/crates/fleet/src/adopt.rs
@@ -1,9 +1,9 @@
-//! Groups that serve and stand in no plan.
+//! Adoption of groups that serve but are in no plan.
 //!
-//! The load this answers: the store comes back from an older copy, and the node that is elected
-//! next knows no more than that. Runners that stand in groups it has never heard of look like
-//! remains, and to take them apart stops what serves. Epochs are given out in plans before any
-//! order names them: an epoch beyond all plans proves that a plan was lost.
+//! When the store is restored from an older copy, the next decider knows no more than that copy.
+//! Runners in groups that it does not know look like strays, and to dissolve those groups would
+//! interrupt service. Epochs are issued in plans before any order names them, so an epoch beyond
+//! all plans proves that a plan was lost.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -13,27 +13,27 @@
 use crate::plan::{Document, Group, Plans, State};
 use crate::roster::Roster;
 use crate::runner::{Epoch, Runner};
-use crate::scene::name_solo;
+use crate::snapshot::name_solo;
 
-/// What lost plans were found to have held.
+/// The reconstructed content of lost plans.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Adoption {
     /// The plans, with the groups that serve.
     pub plans: Vec<(id::Domain, Document)>,
-    /// Domains in which a group is seen in part only.
-    pub unclear: BTreeSet<id::Domain>,
+    /// Domains in which only some members of a group are seen.
+    pub incomplete: BTreeSet<id::Domain>,
 }
 
-/// The members of groups of epochs beyond all plans, by rank.
+/// Returns the members, by rank, of groups with epochs beyond all plans.
 fn list_strays<'a>(
     roster: &'a Roster,
     plans: &Plans,
 ) -> BTreeMap<(&'a id::Domain, Epoch, &'a id::Group), Vec<&'a Runner>> {
-    let top = plans.values().map(|plan| plan.top).max().unwrap_or_default();
+    let last_epoch = plans.values().map(|plan| plan.top).max().unwrap_or_default();
     let mut strays: BTreeMap<_, Vec<&Runner>> = BTreeMap::new();
     for runner in roster.iter() {
         let (Some(domain), Some(place)) = (&runner.domain, &runner.membership) else { continue };
-        if place.epoch > top && place.group != name_solo(&runner.id) {
+        if place.epoch > last_epoch && place.group != name_solo(&runner.id) {
             strays.entry((domain, place.epoch, &place.group)).or_default().push(runner);
         }
     }
@@ -43,8 +43,8 @@
     strays
 }
 
-/// The group, if all its members are seen.
-fn complete(services: &[Service], epoch: Epoch, name: &id::Group, members: &[&Runner]) -> Option<Group> {
+/// Returns the group if all its members are seen.
+fn find_complete(services: &[Service], epoch: Epoch, name: &id::Group, members: &[&Runner]) -> Option<Group> {
     let head = members.first()?;
     let model = head.models.first().or(head.served.as_ref())?;
     let service = services.iter().find(|service| service.id == head.service)?;
@@ -62,15 +62,15 @@
     })
 }
 
-/// Finds the groups that stand in no plan, for plans were lost, and adds them. A former group
-/// of their members had been given up before these were formed, and is dropped.
+/// Finds the groups that are in no plan because plans were lost, and adds them. A planned group
+/// that shares a member with one of these was retired before it was formed, and is dropped.
 pub fn adopt(services: &[Service], roster: &Roster, plans: &Plans) -> Adoption {
     let mut found = plans.clone();
     let mut changed = BTreeSet::new();
-    let mut unclear = BTreeSet::new();
+    let mut incomplete = BTreeSet::new();
     for ((domain, epoch, name), members) in list_strays(roster, plans) {
-        let Some(group) = complete(services, epoch, name, &members) else {
-            unclear.insert(domain.clone());
+        let Some(group) = find_complete(services, epoch, name, &members) else {
+            incomplete.insert(domain.clone());
             continue;
         };
         let plan = found.entry(domain.clone()).or_default();
@@ -80,5 +80,5 @@
         changed.insert(domain.clone());
     }
     found.retain(|domain, _| changed.contains(domain));
-    Adoption { plans: found.into_iter().collect(), unclear }
+    Adoption { plans: found.into_iter().collect(), incomplete }
 }
--- a/crates/fleet/src/decide.rs
+++ b/crates/fleet/src/decide.rs
@@ -1,20 +1,18 @@
-//! What the deciding node does next for the groups of one service.
+//! The planner's next step for the groups of one service.
 //!
-//! [`step`] compares the plan of every fabric domain with what the runners say
-//! of themselves. It gives up groups that lost a member and releases their
-//! members ([`crate::loss`]), forms new groups out of free runners
-//! ([`crate::form`]), and lists the orders that bring the runners to where the
-//! plan wants them ([`crate::orders`], [`crate::staging`]). It only names changes;
-//! whoever calls it writes them to the store under a condition and sends the
-//! orders after that.
+//! [`step`] compares the plan of every fabric domain with the state that the runners report. It
+//! retires groups that lost a member and releases their members ([`crate::loss`]), forms new groups
+//! from free runners ([`crate::form`]), and lists the orders that bring the runners to the planned
+//! state ([`crate::orders`], [`crate::staging`]). It only returns changes; the caller writes them
+//! to the store with a compare-and-swap and sends the orders after that.
 
 use cottoncrank::id;
 
 use crate::catalog::{Engine, Model};
-use crate::desk::Desk;
-use crate::form::{find_top, form_groups};
+use crate::form::{find_last_epoch, form_groups};
+use crate::issuer::Issuer;
 use crate::loads::Purpose;
-use crate::loss::{mark_halted, release_groups, retire_groups};
+use crate::loss::{mark_stalled, release_groups, retire_groups};
 use crate::memory::Memory;
 use crate::occupancy::Counts;
 use crate::order::Order;
@@ -24,77 +22,85 @@
 use crate::preload::order_preloads;
 use crate::reserve::Risk;
 use crate::runner::Runner;
-use crate::scene::{Scene, list_sites};
-use crate::share::list_lacking;
+use crate::snapshot::{Snapshot, list_drafts};
 use crate::staging::order_staging;
+use crate::targets::list_shortages;
 
-/// What is to be done.
+/// The changes that the planner wants now.
 #[derive(Clone, Debug, Default)]
 pub struct Step {
-    /// Documents that change, each with the reasons.
+    /// Plans to write, each with the reasons for its changes.
     pub writes: Vec<(id::Domain, Document, Vec<String>)>,
-    /// Orders to give now.
+    /// Orders to send after the plans are written.
     pub orders: Vec<(id::Runner, Order)>,
 }
 
-/// Decides what to do next.
-pub fn step(scene: &Scene, memory: &mut Memory) -> Step {
-    let Some(published) = &scene.service.engine else { return Step::default() };
-    memory.forget(scene);
-    let demand = memory.demands.entry(scene.service.id.clone()).or_default();
-    if let Some(in_flight) = scene.in_flight.filter(|_| scene.serving) {
-        demand.note(list_used(scene, &published.models, in_flight), scene.now);
+/// Returns the plans to write and the orders to send next.
+pub fn step(snapshot: &Snapshot, memory: &mut Memory) -> Step {
+    let Some(published) = &snapshot.service.engine else { return Step::default() };
+    memory.prune(snapshot);
+    let demand = memory.demands.entry(snapshot.service.id.clone()).or_default();
+    if let Some(in_flight) = snapshot.in_flight.filter(|_| snapshot.serving) {
+        demand.record(list_utilization(snapshot, &published.models, in_flight), snapshot.now);
     }
     let engine = &Engine { models: demand.adjust(&published.models), ..published.clone() };
-    let mut sites = list_sites(scene);
+    let mut drafts = list_drafts(snapshot);
     let mut lost = 0;
-    for site in &mut sites {
-        lost += retire_groups(scene, site, memory);
-        mark_halted(site, memory);
-        release_groups(scene, site, memory);
+    for draft in &mut drafts {
+        lost += retire_groups(snapshot, draft, memory);
+        mark_stalled(draft, memory);
+        release_groups(snapshot, draft, memory);
     }
-    let members = sites.iter().flat_map(|site| &site.plan.groups).map(|group| group.members.len()).sum();
-    memory.losses.note(members, lost, scene.now);
-    let runners = sites.iter().map(|site| site.runners.len()).sum();
-    let risk = Risk::assess(&memory.losses, engine, runners, sites.len());
-    if scene.serving {
-        preempt_groups(scene, &engine.models, &risk, &mut sites);
+    let members = drafts.iter().flat_map(|draft| &draft.plan.groups).map(|group| group.members.len()).sum();
+    memory.losses.record(members, lost, snapshot.now);
+    let runners = drafts.iter().map(|draft| draft.runners.len()).sum();
+    let risk = Risk::assess(&memory.losses, engine, runners, drafts.len());
+    if snapshot.serving {
+        preempt_groups(snapshot, &engine.models, &risk, &mut drafts);
     }
-    let settled = memory.is_settled(runners, scene.now);
-    let waiting = form_groups(scene, engine, &mut sites, &risk, memory, settled);
+    let settled = memory.is_settled(runners, snapshot.now);
+    let waiting = form_groups(snapshot, engine, &mut drafts, &risk, memory, settled);
     let mut step = Step::default();
-    let lacking = list_lacking(&engine.models, &sites, &risk);
-    let allowed = |purpose| memory.loads.allowed(scene.now, engine, scene.ceiling, scene.serving, purpose);
-    let (repairs, reserves) = (allowed(Purpose::Repair), allowed(Purpose::Reserve));
-    let mut desk =
-        Desk { now: scene.now, memory, orders: &mut step.orders, repairs, reserves, serving: scene.serving };
-    for site in &sites {
-        list_orders(scene, site, &mut desk);
+    let shortages = list_shortages(&engine.models, &drafts, &risk);
+    let count_allowed = |purpose| {
+        memory.loads.count_allowed(snapshot.now, engine, snapshot.ceiling, snapshot.serving, purpose)
+    };
+    let (repair_loads, reserve_loads) = (count_allowed(Purpose::Repair), count_allowed(Purpose::Reserve));
+    let mut issuer = Issuer {
+        now: snapshot.now,
+        memory,
+        orders: &mut step.orders,
+        repair_loads,
+        reserve_loads,
+        serving: snapshot.serving,
+    };
+    for draft in &drafts {
+        list_orders(snapshot, draft, &mut issuer);
     }
-    // Before callers come, loads are short, and groups go first.
-    if scene.serving || (!waiting && settled) {
-        order_staging(scene, engine, &risk, &lacking, &sites, &mut desk);
-        order_preloads(&engine.models, &sites, find_top(scene, &sites), &mut desk);
+    // Before callers arrive, loads are fast, and forming groups takes precedence over staging.
+    if snapshot.serving || (!waiting && settled) {
+        order_staging(snapshot, engine, &risk, &shortages, &drafts, &mut issuer);
+        order_preloads(&engine.models, &drafts, find_last_epoch(snapshot, &drafts), &mut issuer);
     }
-    let changed = sites.into_iter().filter(|site| match scene.plans.get(&site.id) {
-        Some(plan) => *plan != site.plan,
-        None => !site.plan.groups.is_empty(),
+    let changed = drafts.into_iter().filter(|draft| match snapshot.plans.get(&draft.id) {
+        Some(plan) => *plan != draft.plan,
+        None => !draft.plan.groups.is_empty(),
     });
-    step.writes = changed.map(|site| (site.id, site.plan, site.reasons)).collect();
+    step.writes = changed.map(|draft| (draft.id, draft.plan, draft.reasons)).collect();
     step
 }
 
-/// The part of its slots in use, for each model that has open groups.
-fn list_used(scene: &Scene, models: &[Model], in_flight: &Counts) -> Vec<(id::Model, f64)> {
-    let used = |model: &Model| {
-        let heads = scene.roster.list_heads(&scene.service.id, &model.name, scene.plans);
-        let running = |head: &Runner| {
+/// Returns the utilization of slots for each model that has open groups.
+fn list_utilization(snapshot: &Snapshot, models: &[Model], in_flight: &Counts) -> Vec<(id::Model, f64)> {
+    let find_utilization = |model: &Model| {
+        let heads = snapshot.roster.list_heads(&snapshot.service.id, &model.name, snapshot.plans);
+        let count_running = |head: &Runner| {
             let epoch = head.membership.as_ref().map(|place| place.epoch)?;
             Some(in_flight.get(&epoch).copied().unwrap_or(0).min(head.slots))
         };
         let slots: u32 = heads.iter().map(|head| head.slots).sum();
-        let running: u32 = heads.iter().filter_map(|head| running(head)).sum();
+        let running: u32 = heads.iter().filter_map(|head| count_running(head)).sum();
         (slots > 0).then(|| (model.name.clone(), f64::from(running) / f64::from(slots)))
     };
-    models.iter().filter_map(used).collect()
+    models.iter().filter_map(find_utilization).collect()
 }
--- /dev/null
+++ b/crates/fleet/src/issuer.rs
@@ -0,0 +1,48 @@
+//! Issues orders to runners, and repeats those that show no effect.
+
+use cottoncrank::{Millis, id};
+
+use crate::memory::Memory;
+use crate::order::{Order, REPEAT_ACKNOWLEDGED_INTERVAL, REPEAT_INTERVAL};
+use crate::runner::Runner;
+
+/// Issues each order once, and again while it shows no effect.
+pub(crate) struct Issuer<'a> {
+    pub(crate) now: Millis,
+    pub(crate) memory: &'a mut Memory,
+    pub(crate) orders: &'a mut Vec<(id::Runner, Order)>,
+    /// The loads that may still begin in this step for groups that callers need.
+    pub(crate) repair_loads: usize,
+    /// The loads that may still begin in this step in reserve.
+    pub(crate) reserve_loads: usize,
+    pub(crate) serving: bool,
+}
+
+impl Issuer<'_> {
+    pub(crate) fn issue(&mut self, runner: &id::Runner, order: Order) {
+        let key = (runner.clone(), order);
+        let interval = if self.memory.acknowledged.contains(&key) {
+            REPEAT_ACKNOWLEDGED_INTERVAL
+        } else {
+            REPEAT_INTERVAL
+        };
+        let due = self.memory.issued_at.get(&key).is_none_or(|at| self.now >= *at + interval);
+        if due {
+            self.memory.issued_at.insert(key.clone(), self.now);
+            self.orders.push(key);
+        }
+    }
+
+    /// Whether an order was first issued at least `span` ago. The first call for an order starts
+    /// the time.
+    pub(crate) fn has_waited(&mut self, runner: &id::Runner, order: &Order, span: Millis) -> bool {
+        let key = (runner.clone(), order.clone());
+        let first = *self.memory.first_issued_at.entry(key).or_insert(self.now);
+        self.now >= first + span
+    }
+
+    /// Returns the model that the runner was last ordered to stage.
+    pub(crate) fn last_staged(&self, runner: &Runner) -> Option<&id::Model> {
+        self.memory.last_staged(runner, self.now)
+    }
+}
--- a/crates/node/src/decider.rs
+++ b/crates/node/src/decider.rs
@@ -13,13 +13,13 @@
 use cottoncrank_fleet::catalog::Service;
 use cottoncrank_fleet::census::{self, Census};
 use cottoncrank_fleet::decide::{Step, step};
-use cottoncrank_fleet::demand::Part;
+use cottoncrank_fleet::demand::Share;
 use cottoncrank_fleet::memory::Memory;
 use cottoncrank_fleet::order::Order;
 use cottoncrank_fleet::plan::Document;
 use cottoncrank_fleet::position::{Era, Position};
 use cottoncrank_fleet::probe::Probes;
-use cottoncrank_fleet::scene::Scene;
+use cottoncrank_fleet::snapshot::Snapshot;
 use cottoncrank_net::client::{Client, Traffic};
 use cottoncrank_platform::item::Item;
 use cottoncrank_platform::order::{self, Reply};
@@ -113,7 +113,7 @@
     /// What was last logged of each service, and when.
     census: HashMap<id::Service, (Census, Millis)>,
     /// The parts of the runners that were last logged of each service.
-    parts: HashMap<id::Service, Vec<Part>>,
+    parts: HashMap<id::Service, Vec<Share>>,
 }
 
 /// Stands for the lease whenever it is free, and decides while holding it.
@@ -260,12 +260,12 @@
     fn adopt(&mut self) -> Vec<(id::Domain, Document, Vec<String>)> {
         let Some(catalog) = self.node.catalog.lock().clone() else { return Vec::new() };
         let adoption = adopt(&catalog.services, &self.node.roster.lock(), &self.plans.list_documents());
-        for domain in &adoption.unclear {
+        for domain in &adoption.incomplete {
             log::warn!(
                 "decider: {domain}: a group is seen in part that stands in no plan; nothing is decided there"
             );
         }
-        self.plans.closed.extend(adoption.unclear);
+        self.plans.closed.extend(adoption.incomplete);
         let plans = adoption.plans.into_iter().filter(|(domain, _)| !self.plans.closed.contains(domain));
         let reason = || vec!["adopt groups that serve, the store had lost their plan".to_owned()];
         let plans: Vec<_> = plans.map(|(domain, document)| (domain, document, reason())).collect();
@@ -340,7 +340,7 @@
             let (step, census) = {
                 let roster = self.node.roster.lock();
                 let probes = self.probes.lock();
-                let scene = Scene {
+                let scene = Snapshot {
                     service,
                     roster: &roster,
                     plans: &documents,
@@ -350,7 +350,7 @@
                     ceiling: &bounds.ceiling,
                     stall: bounds.stall,
                     in_flight: in_flight.as_ref(),
-                    refusing: &refusing,
+                    rejecting: &refusing,
                     now: self.node.now(),
                 };
                 (step(&scene, &mut self.memory.lock()), census::count(&scene, engine))
@@ -376,7 +376,7 @@
 
     /// Says which part of the runners each model is to have, when that has changed.
     fn log_parts(&mut self, service: &Service) {
-        let parts = self.memory.lock().list_parts(service);
+        let parts = self.memory.lock().list_shares(service);
         let told = self.parts.entry(service.id.clone()).or_default();
         let same =
             told.len() == parts.len() && !parts.iter().zip(&*told).any(|(part, told)| part.differs(told));
@@ -471,14 +471,14 @@
             }
             let reply = order::give(&client, address, &runner, &order, ORDER).await;
             match reply {
-                Ok(Reply::Taken) => memory.lock().note_taken(&runner, life, &order, node.now()),
-                Ok(Reply::Outdated) => memory.lock().note_refused(&runner, &order),
+                Ok(Reply::Taken) => memory.lock().record_acknowledged(&runner, life, &order, node.now()),
+                Ok(Reply::Outdated) => memory.lock().record_refused(&runner, &order),
                 // It is in no such group, or is no more: as good as having left it.
                 Ok(Reply::Unfit | Reply::Gone) if matches!(order, Order::Leave(..)) => {
-                    memory.lock().note_taken(&runner, life, &order, node.now());
+                    memory.lock().record_acknowledged(&runner, life, &order, node.now());
                 }
                 Ok(Reply::Gone | Reply::Refused(_)) if matches!(order, Order::Stage(_)) => {
-                    memory.lock().note_refused(&runner, &order);
+                    memory.lock().record_refused(&runner, &order);
                 }
                 Ok(Reply::Unfit | Reply::Gone | Reply::Refused(_)) | Err(_) => {}
             }
