--- a/crates/controller/src/domains.rs
+++ b/crates/controller/src/domains.rs
@@ -7,10 +7,10 @@
 
 use cottoncrank::budget::Purpose;
 use cottoncrank::config::Kind;
-use cottoncrank::decide::{Decision, Hold, View, list_orders, step};
+use cottoncrank::decide::{Decision, Hold, Input, decide_change, list_orders};
 use cottoncrank::domain::{self, Document};
 use cottoncrank::engine::{Obeyed, Order};
-use cottoncrank::evidence::{Evidence, gather};
+use cottoncrank::evidence::{Evidence, gather_evidence};
 use cottoncrank::member::{Member, decider, live_in};
 use cottoncrank::row::{Body, Group, Key, Row, Whole};
 use cottoncrank::view::judge_group;
@@ -73,17 +73,17 @@
     let Some(held) = fetch(state, domain).await else { return };
     let evidence = gather_domain(state, config, members, domain, &held.document);
     note_conditions(state, members, &held.document);
-    let view = View {
+    let view = Input {
         config,
         domain,
         document: &held.document,
         evidence: &evidence,
         nodes: count_nodes(state, members),
-        me: &state.settings.node,
+        decider: &state.settings.node,
         now: state.now(),
         proposal: state.next_proposal(),
     };
-    match step(&view) {
+    match decide_change(&view) {
         Decision::Change(next) => write(state, domain, held.revision, *next).await,
         Decision::Hold(holds) => {
             note_holds(state, domain, holds);
@@ -114,7 +114,13 @@
     let placed = document.groups.values().flat_map(|group| &group.members);
     runners.extend(placed.map(|place| place.runner.clone()));
     runners.extend(document.quarantine.keys().cloned());
-    gather(&state.table.lock(), members, &state.settings.hall, runners.iter(), document.groups.keys())
+    gather_evidence(
+        &state.table.lock(),
+        members,
+        &state.settings.hall,
+        runners.iter(),
+        document.groups.keys(),
+    )
 }
 
 /// The document as this node holds it, read from the store the first time.
--- a/crates/controller/src/operate.rs
+++ b/crates/controller/src/operate.rs
@@ -267,7 +267,7 @@
             name.to_owned(),
             domain.to_string(),
             role.as_ref().map_or("-".to_owned(), |role| role.group.to_string()),
-            if known.answers(state.now()) { "yes" } else { "no" }.to_owned(),
+            if known.is_reachable(state.now()) { "yes" } else { "no" }.to_owned(),
             known.seen.as_ref().map_or("-".to_owned(), |seen| format!("{:?}", seen.stage).to_lowercase()),
             role.as_ref().map_or("-".to_owned(), |role| role.generation.to_string()),
             (known.reached.len() + known.missed.len()).to_string(),
--- a/crates/kernel/benches/decisions.rs
+++ b/crates/kernel/benches/decisions.rs
@@ -6,10 +6,10 @@
 
 use cottoncrank::Millis;
 use cottoncrank::config::{self, Entry, Fence, Key as Name, Kind};
-use cottoncrank::decide::{View, step};
+use cottoncrank::decide::{Input, decide_change};
 use cottoncrank::domain::{Document, Group, Phase, Place};
 use cottoncrank::engine::{Role, Stage};
-use cottoncrank::evidence::gather;
+use cottoncrank::evidence::gather_evidence;
 use cottoncrank::id::{self, Generation, Incarnation, Proposal, Revision};
 use cottoncrank::member::{list_members, live_in, watchers};
 use cottoncrank::row::{self, Body, Key};
@@ -111,17 +111,17 @@
     let view = || derive_view(&hall.config, &hall.table, &members, &hall.name, NOW);
     assert!(view().groups.iter().all(|g| g.condition == cottoncrank::view::Condition::Open));
     criterion.bench_function("derive the view of 4 groups of 28", |b| b.iter(|| black_box(view())));
-    let me: id::Node = "node-0".parse().unwrap();
+    let decider: id::Node = "node-0".parse().unwrap();
     let decide = || {
         let groups = hall.document.groups.keys();
-        let evidence = gather(&hall.table, &members, &hall.name, hall.runners.iter(), groups);
-        step(&View {
+        let evidence = gather_evidence(&hall.table, &members, &hall.name, hall.runners.iter(), groups);
+        decide_change(&Input {
             config: &hall.config,
             domain: &hall.domain,
             document: &hall.document,
             evidence: &evidence,
             nodes: (70, 70),
-            me: &me,
+            decider: &decider,
             now: NOW,
             proposal: Proposal(1),
         })
--- a/crates/kernel/src/decide.rs
+++ b/crates/kernel/src/decide.rs
@@ -16,13 +16,13 @@
 use crate::id;
 
 /// How long after the drain of a group its requests in flight are trusted to
-/// be all there are: every entry refuses to work on a view older than
+/// be all there are: every entry refuses to work on a input older than
 /// [`crate::view::STALE`], which is shorter.
 pub const DRAIN_WAIT: Millis = Millis(4000);
 
 /// Everything a decision rests on.
 #[derive(Clone, Copy, Debug)]
-pub struct View<'a> {
+pub struct Input<'a> {
     /// The configuration in force.
     pub config: &'a config::Document,
     /// The domain.
@@ -34,7 +34,7 @@
     /// Live nodes of the hall, and nodes it ought to have.
     pub nodes: (usize, usize),
     /// The node that decides.
-    pub me: &'a id::Node,
+    pub decider: &'a id::Node,
     /// The present time.
     pub now: Millis,
     /// The mark of the write that may follow.
@@ -60,7 +60,7 @@
 }
 
 /// A runner as the configuration gives it.
-struct Given<'a> {
+struct ConfiguredRunner<'a> {
     address: SocketAddr,
     fence: Fence,
     drained: bool,
@@ -68,49 +68,52 @@
 }
 
 /// Decides the next change of the domain.
-pub fn step(view: &View) -> Decision {
-    let ways: [fn(&View) -> Option<Document>; 6] =
-        [unquarantine, retire, finish_drain, repair, drain_leaving, form];
-    if is_blind(view) {
-        return Decision::Hold(explain_holds(view));
+pub fn decide_change(input: &Input) -> Decision {
+    let steps: [fn(&Input) -> Option<Document>; 6] =
+        [unquarantine, drain_unconfigured, finish_drain, repair, drain_leaving, form];
+    if is_partitioned(input) {
+        return Decision::Hold(explain_holds(input));
     }
-    match ways.iter().find_map(|way| way(view)) {
+    match steps.iter().find_map(|step| step(input)) {
         Some(mut document) => {
-            document.proposal = view.proposal;
+            document.proposal = input.proposal;
             Decision::Change(Box::new(document))
         }
-        None => Decision::Hold(explain_holds(view)),
+        None => Decision::Hold(explain_holds(input)),
     }
 }
 
 /// More than half of the hall's nodes are gone: rather we are cut off than they.
-fn is_blind(view: &View) -> bool {
-    let (live, known) = view.nodes;
+fn is_partitioned(input: &Input) -> bool {
+    let (live, known) = input.nodes;
     live * 2 < known
 }
 
-fn given<'a>(view: &View<'a>, runner: &id::Runner) -> Option<Given<'a>> {
-    match view.config.get(&config::Key::new(Kind::Runner, runner))? {
-        Entry::Runner { domain, address, fence, drained } if domain == view.domain => Some(Given {
-            address: *address,
-            fence: *fence,
-            drained: *drained,
-            known: view.evidence.runners.get(runner),
-        }),
+fn find_configured_runner<'a>(input: &Input<'a>, runner: &id::Runner) -> Option<ConfiguredRunner<'a>> {
+    match input.config.get(&config::Key::new(Kind::Runner, runner))? {
+        Entry::Runner { domain, address, fence, drained } if domain == input.domain => {
+            Some(ConfiguredRunner {
+                address: *address,
+                fence: *fence,
+                drained: *drained,
+                known: input.evidence.runners.get(runner),
+            })
+        }
         _ => None,
     }
 }
 
 /// Runners that may take a place now, warm ones for `model` first.
-fn list_spares(view: &View, model: &id::Model) -> Vec<Place> {
+fn list_spares(input: &Input, model: &id::Model) -> Vec<Place> {
     let mut spares: Vec<(bool, Place)> = Vec::new();
-    for (name, _) in view.config.of(Kind::Runner) {
+    for (name, _) in input.config.of(Kind::Runner) {
         let Ok(runner) = name.parse::<id::Runner>() else { continue };
-        if view.document.group_of(&runner).is_some() || view.document.quarantine.contains_key(&runner) {
+        if input.document.group_of(&runner).is_some() || input.document.quarantine.contains_key(&runner) {
             continue;
         }
-        let Some(place) = usable(view, &runner) else { continue };
-        let warm = view.evidence.of(&runner).seen.is_some_and(|seen| seen.warm.as_ref() == Some(model));
+        let Some(place) = find_usable_place(input, &runner) else { continue };
+        let warm =
+            input.evidence.get_runner(&runner).seen.is_some_and(|seen| seen.warm.as_ref() == Some(model));
         spares.push((!warm, place));
     }
     spares.sort();
@@ -118,38 +121,38 @@
 }
 
 /// The place that the runner could take in its present life.
-fn usable(view: &View, runner: &id::Runner) -> Option<Place> {
-    let given = given(view, runner)?;
-    let known = given.known?;
-    if given.drained || known.is_leaving() || !known.answers(view.now) {
+fn find_usable_place(input: &Input, runner: &id::Runner) -> Option<Place> {
+    let configured = find_configured_runner(input, runner)?;
+    let known = configured.known?;
+    if configured.drained || known.is_leaving() || !known.is_reachable(input.now) {
         return None;
     }
     let incarnation = known.seen.as_ref()?.incarnation;
     Some(Place { runner: runner.clone(), incarnation })
 }
 
-fn is_leaving(view: &View, runner: &id::Runner) -> bool {
-    match given(view, runner) {
-        Some(given) => given.drained || given.known.is_some_and(Runner::is_leaving),
+fn is_leaving(input: &Input, runner: &id::Runner) -> bool {
+    match find_configured_runner(input, runner) {
+        Some(configured) => configured.drained || configured.known.is_some_and(Runner::is_leaving),
         None => true,
     }
 }
 
-fn wanted<'a>(view: &View<'a>, group: &id::Group) -> Option<(&'a id::Model, usize)> {
-    match view.config.get(&config::Key::new(Kind::Group, group))? {
-        Entry::Group { domain, model, size, .. } if domain == view.domain => {
+fn find_configured_group<'a>(input: &Input<'a>, group: &id::Group) -> Option<(&'a id::Model, usize)> {
+    match input.config.get(&config::Key::new(Kind::Group, group))? {
+        Entry::Group { domain, model, size, .. } if domain == input.domain => {
             Some((model, usize::from(*size)))
         }
         _ => None,
     }
 }
 
-fn event(view: &View, group: &id::Group, action: Action, cause: Cause, passed: Vec<Passed>) -> Event {
+fn build_event(input: &Input, group: &id::Group, action: Action, cause: Cause, passed: Vec<Passed>) -> Event {
     Event {
-        at: view.now,
-        by: view.me.clone(),
+        at: input.now,
+        by: input.decider.clone(),
         group: group.clone(),
-        generation: view.document.generation.next(),
+        generation: input.document.generation.next(),
         action,
         cause,
         passed,
@@ -157,9 +160,15 @@
 }
 
 /// Puts runners that check no fence aside until their old role is seen ended.
-fn quarantine(view: &View, document: &mut Document, runners: impl IntoIterator<Item = id::Runner>) {
+fn quarantine_unfenced(
+    input: &Input,
+    document: &mut Document,
+    runners: impl IntoIterator<Item = id::Runner>,
+) {
     for runner in runners {
-        if given(view, &runner).is_some_and(|given| given.fence == Fence::Unchecked) {
+        if find_configured_runner(input, &runner)
+            .is_some_and(|configured| configured.fence == Fence::Unchecked)
+        {
             let generation = document.generation;
             document.quarantine.insert(runner, Quarantine { generation });
         }
@@ -167,63 +176,63 @@
 }
 
 /// Lets a runner out of quarantine once it answers and holds no role.
-fn unquarantine(view: &View) -> Option<Document> {
-    let free = view.document.quarantine.keys().find(|runner| {
-        let known = view.evidence.of(runner);
-        let gone = given(view, runner).is_none();
-        gone || (known.answers(view.now) && known.seen.is_some_and(|seen| seen.role.is_none()))
+fn unquarantine(input: &Input) -> Option<Document> {
+    let free = input.document.quarantine.keys().find(|runner| {
+        let known = input.evidence.get_runner(runner);
+        let gone = find_configured_runner(input, runner).is_none();
+        gone || (known.is_reachable(input.now) && known.seen.is_some_and(|seen| seen.role.is_none()))
     })?;
-    let mut document = view.document.clone();
+    let mut document = input.document.clone();
     document.quarantine.remove(free);
     Some(document)
 }
 
 /// Drains a group that is no longer configured as it is.
-fn retire(view: &View) -> Option<Document> {
-    let (name, _) = view.document.groups.iter().find(|(name, group)| {
-        let kept = wanted(view, name)
+fn drain_unconfigured(input: &Input) -> Option<Document> {
+    let (name, _) = input.document.groups.iter().find(|(name, group)| {
+        let kept = find_configured_group(input, name)
             .is_some_and(|(model, size)| *model == group.model && size == group.members.len());
         group.phase == Phase::Serve && !kept
     })?;
-    let cause = Cause::Configured(view.config.revision);
-    Some(drain(view, name, cause))
+    let cause = Cause::Configured(input.config.revision);
+    Some(drain(input, name, cause))
 }
 
 /// Drains a group with a member that is leaving.
-fn drain_leaving(view: &View) -> Option<Document> {
-    let serving = view.document.groups.iter().filter(|(_, group)| group.phase == Phase::Serve);
+fn drain_leaving(input: &Input) -> Option<Document> {
+    let serving = input.document.groups.iter().filter(|(_, group)| group.phase == Phase::Serve);
     let (name, leaving) = serving
         .filter_map(|(name, group)| {
-            let leaving = group.members.iter().find(|place| is_leaving(view, &place.runner))?;
+            let leaving = group.members.iter().find(|place| is_leaving(input, &place.runner))?;
             Some((name, leaving.runner.clone()))
         })
         .next()?;
-    Some(drain(view, name, Cause::Leaving(leaving)))
+    Some(drain(input, name, Cause::Leaving(leaving)))
 }
 
-fn drain(view: &View, name: &id::Group, cause: Cause) -> Document {
-    let mut document = view.document.clone();
+fn drain(input: &Input, name: &id::Group, cause: Cause) -> Document {
+    let mut document = input.document.clone();
     if let Some(group) = document.groups.get_mut(name) {
         group.phase = Phase::Drain;
     }
-    document.record(event(view, name, Action::Drain, cause, Vec::new()));
+    document.record(build_event(input, name, Action::Drain, cause, Vec::new()));
     document
 }
 
 /// Takes a drained group apart once nothing is in flight.
-fn finish_drain(view: &View) -> Option<Document> {
-    let (name, _) = view
+fn finish_drain(input: &Input) -> Option<Document> {
+    let (name, _) = input
         .document
         .groups
         .iter()
-        .find(|(name, group)| group.phase == Phase::Drain && is_empty(view, name, group))?;
-    Some(dissolve(view, name, Cause::Drained, Vec::new()))
+        .find(|(name, group)| group.phase == Phase::Drain && is_drained(input, name, group))?;
+    Some(dissolve(input, name, Cause::Drained, Vec::new()))
 }
 
 /// Nothing is in flight in a draining group, or nothing can be any more.
-fn is_empty(view: &View, name: &id::Group, group: &Group) -> bool {
-    let lost = group.members.iter().any(|place| is_lost(&view.evidence.of(&place.runner), place));
-    let drains = view.document.events.iter().rev();
+fn is_drained(input: &Input, name: &id::Group, group: &Group) -> bool {
+    let lost = group.members.iter().any(|place| is_lost(&input.evidence.get_runner(&place.runner), place));
+    let drains = input.document.events.iter().rev();
     let Some(drained) = drains.into_iter().find(|e| e.group == *name && e.action == Action::Drain) else {
         return lost;
     };
@@ -231,59 +240,60 @@
         return true;
     }
     let settled = drained.at + DRAIN_WAIT;
-    let load = view.evidence.loads.get(name);
-    view.now >= settled
+    let load = input.evidence.loads.get(name);
+    input.now >= settled
         && load.is_some_and(|(load, at)| {
             load.generation == group.generation && load.running == 0 && *at >= settled
         })
 }
 
-fn dissolve(view: &View, name: &id::Group, cause: Cause, passed: Vec<Passed>) -> Document {
-    let mut document = view.document.clone();
+fn dissolve(input: &Input, name: &id::Group, cause: Cause, passed: Vec<Passed>) -> Document {
+    let mut document = input.document.clone();
     document.generation = document.generation.next();
-    document.record(event(view, name, Action::Dissolve, cause, passed));
+    document.record(build_event(input, name, Action::Dissolve, cause, passed));
     if let Some(group) = document.groups.remove(name) {
-        quarantine(view, &mut document, group.members.into_iter().map(|place| place.runner));
+        quarantine_unfenced(input, &mut document, group.members.into_iter().map(|place| place.runner));
     }
     document
 }
 
 fn is_lost(known: &Runner, place: &Place) -> bool {
-    known.is_missing() || known.is_reborn(place)
+    known.is_missing() || known.has_restarted(place)
 }
 
 /// Mends the first group that lost a member.
-fn repair(view: &View) -> Option<Document> {
-    let groups = view.document.groups.iter().filter(|(_, group)| group.phase == Phase::Serve);
-    groups.filter_map(|(name, group)| repair_group(view, name, group)).next()
+fn repair(input: &Input) -> Option<Document> {
+    let groups = input.document.groups.iter().filter(|(_, group)| group.phase == Phase::Serve);
+    groups.filter_map(|(name, group)| repair_group(input, name, group)).next()
 }
 
-fn repair_group(view: &View, name: &id::Group, group: &Group) -> Option<Document> {
-    let lost = group.members.iter().position(|place| is_lost(&view.evidence.of(&place.runner), place))?;
+fn repair_group(input: &Input, name: &id::Group, group: &Group) -> Option<Document> {
+    let lost =
+        group.members.iter().position(|place| is_lost(&input.evidence.get_runner(&place.runner), place))?;
     let place = &group.members[lost];
-    let known = view.evidence.of(&place.runner);
+    let known = input.evidence.get_runner(&place.runner);
     if !known.is_missing() {
-        return Some(reload(view, name, group));
+        return Some(reload(input, name, group));
     }
-    let cause = Cause::Missing { runner: place.runner.clone(), witnesses: known.witnesses() };
-    let spares = list_spares(view, &group.model);
+    let cause = Cause::Missing { runner: place.runner.clone(), witnesses: known.list_witnesses() };
+    let spares = list_spares(input, &group.model);
     match spares.first() {
-        Some(spare) => Some(replace(view, name, lost, spare, cause, &spares[1..])),
-        None => give_up(view, name, cause),
+        Some(spare) => Some(replace(input, name, lost, spare, cause, &spares[1..])),
+        None => dissolve_to_repair_another(input, name, cause),
     }
 }
 
 /// Puts a spare into the place of a missing member. Every member takes the new
 /// generation, for a replica does not outlive the loss of one.
 fn replace(
-    view: &View,
+    input: &Input,
     name: &id::Group,
     lost: usize,
     spare: &Place,
     cause: Cause,
     others: &[Place],
 ) -> Document {
-    let mut document = view.document.clone();
+    let mut document = input.document.clone();
     document.generation = document.generation.next();
     let generation = document.generation;
     let mut passed: Vec<Passed> = others
@@ -301,35 +311,36 @@
     let mut out = None;
     if let Some(group) = document.groups.get_mut(name) {
         group.generation = generation;
-        refresh(view, &mut group.members);
+        update_incarnations(input, &mut group.members);
         out = Some(std::mem::replace(&mut group.members[lost], spare.clone()).runner);
     }
     if let Some(out) = out {
         let action = Action::Replace { out: out.clone(), into: spare.runner.clone() };
-        document.record(event(view, name, action, cause, passed));
-        quarantine(view, &mut document, [out]);
+        document.record(build_event(input, name, action, cause, passed));
+        quarantine_unfenced(input, &mut document, [out]);
     }
     document
 }
 
 /// Gives every place to the present life of its runner.
-fn refresh(view: &View, members: &mut [Place]) {
+fn update_incarnations(input: &Input, members: &mut [Place]) {
     for place in members {
-        if let Some(seen) = view.evidence.of(&place.runner).seen {
+        if let Some(seen) = input.evidence.get_runner(&place.runner).seen {
             place.incarnation = place.incarnation.max(seen.incarnation);
         }
     }
 }
 
 /// Lets the same members load again under a new generation.
-fn reload(view: &View, name: &id::Group, group: &Group) -> Document {
-    let mut document = view.document.clone();
+fn reload(input: &Input, name: &id::Group, group: &Group) -> Document {
+    let mut document = input.document.clone();
     document.generation = document.generation.next();
     let generation = document.generation;
-    let reborn = group.members.iter().find(|place| view.evidence.of(&place.runner).is_reborn(place));
+    let reborn =
+        group.members.iter().find(|place| input.evidence.get_runner(&place.runner).has_restarted(place));
     if let Some(group) = document.groups.get_mut(name) {
         group.generation = generation;
-        refresh(view, &mut group.members);
+        update_incarnations(input, &mut group.members);
     }
     if let Some(reborn) = reborn {
         let passed = vec![Passed {
@@ -337,50 +348,50 @@
             reason: "it answers again, and the others are warm".to_owned(),
         }];
         let cause = Cause::Restarted(reborn.runner.clone());
-        document.record(event(view, name, Action::Reload, cause, passed));
+        document.record(build_event(input, name, Action::Reload, cause, passed));
     }
     document
 }
 
 /// Without a spare, a broken group is taken apart only if that makes another
 /// broken one whole; else its members stay and wait.
-fn give_up(view: &View, name: &id::Group, cause: Cause) -> Option<Document> {
-    let broken = |group: &Group| {
-        group.members.iter().filter(|place| view.evidence.of(&place.runner).is_missing()).count()
+fn dissolve_to_repair_another(input: &Input, name: &id::Group, cause: Cause) -> Option<Document> {
+    let count_missing = |group: &Group| {
+        group.members.iter().filter(|place| input.evidence.get_runner(&place.runner).is_missing()).count()
     };
-    let mine = broken(view.document.groups.get(name)?);
-    let others = view.document.groups.iter().filter(|(other, _)| *other != name);
-    let rescued = others.filter(|(_, group)| group.phase == Phase::Serve).find(|(other, group)| {
-        let theirs = broken(group);
+    let missing = count_missing(input.document.groups.get(name)?);
+    let others = input.document.groups.iter().filter(|(other, _)| *other != name);
+    let repaired = others.filter(|(_, group)| group.phase == Phase::Serve).find(|(other, group)| {
+        let other_missing = count_missing(group);
         // The group that lost less stays; of two equals the one first by name.
-        theirs > 0 && (theirs, *other) < (mine, name) && group.members.len() > theirs
+        other_missing > 0 && (other_missing, *other) < (missing, name) && group.members.len() > other_missing
     });
-    let (rescued, _) = rescued?;
+    let (repaired, _) = repaired?;
     let passed = vec![Passed {
         option: "wait for the member to come back".to_owned(),
-        reason: format!("there is no spare, and the others make {rescued} whole"),
+        reason: format!("there is no spare, and the others make {repaired} whole"),
     }];
-    Some(dissolve(view, name, cause, passed))
+    Some(dissolve(input, name, cause, passed))
 }
 
 /// Forms the first configured group that is not there, if there are runners for it.
-fn form(view: &View) -> Option<Document> {
-    view.config.of(Kind::Group).find_map(|(name, _)| {
+fn form(input: &Input) -> Option<Document> {
+    input.config.of(Kind::Group).find_map(|(name, _)| {
         let name: id::Group = name.parse().ok()?;
-        let (model, size) = wanted(view, &name)?;
-        if view.document.groups.contains_key(&name) {
+        let (model, size) = find_configured_group(input, &name)?;
+        if input.document.groups.contains_key(&name) {
             return None;
         }
-        let spares = list_spares(view, model);
+        let spares = list_spares(input, model);
         if spares.len() < size {
             return None;
         }
         let members = spares[..size].to_vec();
-        let mut document = view.document.clone();
+        let mut document = input.document.clone();
         document.generation = document.generation.next();
         let names = members.iter().map(|place| place.runner.clone()).collect();
-        let cause = Cause::Configured(view.config.revision);
-        document.record(event(view, &name, Action::Form(names), cause, Vec::new()));
+        let cause = Cause::Configured(input.config.revision);
+        document.record(build_event(input, &name, Action::Form(names), cause, Vec::new()));
         let generation = document.generation;
         let group = Group { generation, model: model.clone(), members, phase: Phase::Serve };
         document.groups.insert(name, group);
@@ -389,32 +400,32 @@
 }
 
 /// The groups that are not whole, with the ways and why they are not taken.
-fn explain_holds(view: &View) -> Vec<Hold> {
-    let names = view.config.of(Kind::Group).filter_map(|(name, _)| name.parse::<id::Group>().ok());
-    names.filter_map(|name| explain_hold(view, &name)).collect()
+fn explain_holds(input: &Input) -> Vec<Hold> {
+    let names = input.config.of(Kind::Group).filter_map(|(name, _)| name.parse::<id::Group>().ok());
+    names.filter_map(|name| explain_hold(input, &name)).collect()
 }
 
-fn explain_hold(view: &View, name: &id::Group) -> Option<Hold> {
-    let (model, size) = wanted(view, name)?;
-    let spares = list_spares(view, model).len();
+fn explain_hold(input: &Input, name: &id::Group) -> Option<Hold> {
+    let (model, size) = find_configured_group(input, name)?;
+    let spares = list_spares(input, model).len();
     let hold = |option: &str, reason: String| {
         let passed = vec![Passed { option: option.to_owned(), reason }];
         Some(Hold { group: name.clone(), passed })
     };
-    if is_blind(view) {
-        let (live, known) = view.nodes;
+    if is_partitioned(input) {
+        let (live, known) = input.nodes;
         return hold(
             "any change",
             format!("only {live} of {known} nodes of the hall are in reach: we may be cut off"),
         );
     }
-    let Some(group) = view.document.groups.get(name) else {
+    let Some(group) = input.document.groups.get(name) else {
         return hold("form", format!("needs {size} runners, {spares} are free and answer"));
     };
     let lost: Vec<&id::Runner> = group
         .members
         .iter()
-        .filter(|place| is_lost(&view.evidence.of(&place.runner), place))
+        .filter(|place| is_lost(&input.evidence.get_runner(&place.runner), place))
         .map(|place| &place.runner)
         .collect();
     if !lost.is_empty() {
@@ -430,15 +441,18 @@
 /// What the runners have to be told so that they match the document.
 ///
 /// Only runners that answer and that the configuration gives are told anything.
-pub fn list_orders(view: &View) -> Vec<(id::Runner, SocketAddr, Order)> {
+pub fn list_orders(input: &Input) -> Vec<(id::Runner, SocketAddr, Order)> {
     let mut orders = Vec::new();
-    for (name, group) in &view.document.groups {
-        let members: Option<Vec<SocketAddr>> =
-            group.members.iter().map(|place| Some(given(view, &place.runner)?.address)).collect();
+    for (name, group) in &input.document.groups {
+        let members: Option<Vec<SocketAddr>> = group
+            .members
+            .iter()
+            .map(|place| Some(find_configured_runner(input, &place.runner)?.address))
+            .collect();
         let Some(members) = members else { continue };
         for (rank, place) in group.members.iter().enumerate() {
             let role = Role { group: name.clone(), generation: group.generation, rank: rank as u16 };
-            if needs_order(view, place, &role) {
+            if needs_order(input, place, &role) {
                 let order = Order::Take {
                     role,
                     incarnation: place.incarnation,
@@ -449,28 +463,28 @@
             }
         }
     }
-    orders.extend(list_releases(view));
+    orders.extend(list_releases(input));
     orders
 }
 
-fn needs_order(view: &View, place: &Place, role: &Role) -> bool {
-    let known = view.evidence.of(&place.runner);
+fn needs_order(input: &Input, place: &Place, role: &Role) -> bool {
+    let known = input.evidence.get_runner(&place.runner);
     let Some(seen) = known.seen else { return false };
     known.missed.is_empty() && seen.incarnation == place.incarnation && seen.role.as_ref() != Some(role)
 }
 
 /// Runners that hold a role they no longer have.
-fn list_releases(view: &View) -> Vec<(id::Runner, SocketAddr, Order)> {
-    let free = view.evidence.runners.iter().filter(|(runner, _)| view.document.group_of(runner).is_none());
+fn list_releases(input: &Input) -> Vec<(id::Runner, SocketAddr, Order)> {
+    let free = input.evidence.runners.iter().filter(|(runner, _)| input.document.group_of(runner).is_none());
     free.filter_map(|(runner, known)| {
         let seen = known.seen.as_ref().filter(|_| known.missed.is_empty())?;
         let role = seen.role.as_ref()?;
         // A role of a later generation means that our document is old.
-        if role.generation > view.document.generation {
+        if role.generation > input.document.generation {
             return None;
         }
-        let address = given(view, runner)?.address;
-        Some((runner.clone(), address, Order::Release { generation: view.document.generation }))
+        let address = find_configured_runner(input, runner)?.address;
+        Some((runner.clone(), address, Order::Release { generation: input.document.generation }))
     })
     .collect()
 }
--- a/crates/kernel/src/evidence.rs
+++ b/crates/kernel/src/evidence.rs
@@ -15,7 +15,7 @@
 
 /// How long one watcher alone may keep a group from serving while the other
 /// one reaches the member: after that the doubt is taken for the watcher's own.
-pub const LONE_DOUBT: Millis = Millis(3000);
+pub const SINGLE_DOUBT_TTL: Millis = Millis(3000);
 
 /// What is known of one runner.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -29,7 +29,7 @@
     /// Since when the newest of the doubts stands.
     pub missed_since: Millis,
     /// Live watchers that have not reported yet count as silent.
-    pub silent: usize,
+    pub unreported: usize,
     /// What the list says.
     pub listed: Option<Listed>,
 }
@@ -46,7 +46,7 @@
     }
 
     /// The witnesses by name.
-    pub fn witnesses(&self) -> Vec<String> {
+    pub fn list_witnesses(&self) -> Vec<String> {
         let mut names: Vec<String> = self.missed.iter().map(id::Node::to_string).collect();
         if self.listed.is_some_and(|listed| !listed.live) {
             names.push("list".to_owned());
@@ -55,8 +55,8 @@
     }
 
     /// Some watcher reaches it, and no other has a doubt worth heeding.
-    pub fn answers(&self, now: Millis) -> bool {
-        let doubt = !self.missed.is_empty() && now.since(self.missed_since) < LONE_DOUBT;
+    pub fn is_reachable(&self, now: Millis) -> bool {
+        let doubt = !self.missed.is_empty() && now.since(self.missed_since) < SINGLE_DOUBT_TTL;
         !self.reached.is_empty() && !doubt
     }
 
@@ -66,7 +66,7 @@
     }
 
     /// The life given `place` is over: a later one answers.
-    pub fn is_reborn(&self, place: &Place) -> bool {
+    pub fn has_restarted(&self, place: &Place) -> bool {
         self.seen.as_ref().is_some_and(|seen| seen.incarnation > place.incarnation)
     }
 
@@ -82,7 +82,7 @@
         let Some(Seen { role: Some(role), stage: Stage::Ready, incarnation, .. }) = &self.seen else {
             return false;
         };
-        self.answers(now)
+        self.is_reachable(now)
             && *incarnation == place.incarnation
             && role.group == *group
             && role.generation == generation
@@ -101,12 +101,12 @@
 
 impl Evidence {
     /// What is known of `runner`.
-    pub fn of(&self, runner: &id::Runner) -> Runner {
+    pub fn get_runner(&self, runner: &id::Runner) -> Runner {
         self.runners.get(runner).cloned().unwrap_or_default()
     }
 
     /// Whether every member of the group is ready in its place at the group's generation.
-    pub fn is_whole(&self, name: &id::Group, group: &domain::Group, now: Millis) -> bool {
+    pub fn is_group_ready(&self, name: &id::Group, group: &domain::Group, now: Millis) -> bool {
         let ready = |(rank, place): (usize, &Place)| {
             let known = self.runners.get(&place.runner);
             known.is_some_and(|known| known.is_ready(name, group.generation, rank, place, now))
@@ -122,7 +122,7 @@
     for watcher in watchers(runner, live) {
         let key = Key::Seen { runner: runner.clone(), by: watcher.clone() };
         let Some(held) = table.get(&key) else {
-            known.silent += 1;
+            known.unreported += 1;
             continue;
         };
         let Body::Seen(seen) = &held.row.body else { continue };
@@ -147,7 +147,7 @@
 }
 
 /// Gathers what the table knows of the runners and groups of a hall's domain.
-pub fn gather<'a>(
+pub fn gather_evidence<'a>(
     table: &Table,
     members: &[Member],
     hall: &id::Hall,
@@ -205,7 +205,7 @@
         };
         assert!(!is_ready(&known, 1001));
         assert!(!known.is_missing());
-        assert!(is_ready(&known, 1000 + LONE_DOUBT.0), "then the doubt is taken for the watcher's own");
+        assert!(is_ready(&known, 1000 + SINGLE_DOUBT_TTL.0), "then the doubt is taken for the watcher's own");
     }
 
     #[test]
@@ -224,9 +224,9 @@
     fn a_later_life_is_not_ready_whatever_it_says() {
         let reborn = Runner { seen: Some(ready(2)), reached: vec![node("a")], ..Runner::default() };
         assert!(!is_ready(&reborn, 0));
-        assert!(reborn.is_reborn(&place()));
+        assert!(reborn.has_restarted(&place()));
         let same = Runner { seen: Some(ready(1)), reached: vec![node("a")], ..Runner::default() };
         assert!(is_ready(&same, 0));
-        assert!(!same.is_reborn(&place()));
+        assert!(!same.has_restarted(&place()));
     }
 }
--- a/crates/kernel/tests/world/mod.rs
+++ b/crates/kernel/tests/world/mod.rs
@@ -8,7 +8,7 @@
 
 use cottoncrank::clock::Millis;
 use cottoncrank::config::{self, Entry, Fence, Key, Kind};
-use cottoncrank::decide::{Decision, View, list_orders, step};
+use cottoncrank::decide::{Decision, Input, decide_change, list_orders};
 use cottoncrank::domain::{Document, Phase};
 use cottoncrank::engine::{Order, Role, Stage};
 use cottoncrank::evidence::{Evidence, Runner as Known};
@@ -151,18 +151,18 @@
         evidence
     }
 
-    fn with_view<T>(&self, decider: usize, document: &Document, ask: impl FnOnce(&View) -> T) -> T {
+    fn with_input<T>(&self, decider: usize, document: &Document, call: impl FnOnce(&Input) -> T) -> T {
         let evidence = self.evidence(decider);
-        let me: id::Node = format!("n{decider}").parse().unwrap();
+        let decider_id: id::Node = format!("n{decider}").parse().unwrap();
         // A decider that is cut from all runners is cut from the watchers too.
         let nodes = if self.deciders[decider].cut_from_runners { (1, 3) } else { (3, 3) };
-        ask(&View {
+        call(&Input {
             config: &self.config,
             domain: &domain(),
             document,
             evidence: &evidence,
             nodes,
-            me: &me,
+            decider: &decider_id,
             now: self.now,
             proposal: id::Proposal(u64::from(self.writes) << 8 | decider as u64),
         })
@@ -185,7 +185,7 @@
             return false;
         }
         let Some((revision, document)) = node.cache.clone() else { return false };
-        let Decision::Change(next) = self.with_view(decider, &document, step) else { return false };
+        let Decision::Change(next) = self.with_input(decider, &document, decide_change) else { return false };
         self.deciders[decider].pending = Some((revision, *next));
         true
     }
@@ -224,7 +224,7 @@
             return false;
         }
         let Some((_, document)) = node.cache.clone() else { return false };
-        let orders = self.with_view(decider, &document, list_orders);
+        let orders = self.with_input(decider, &document, list_orders);
         let mut sent = false;
         for (runner, _, order) in orders {
             let message = (index(&runner), order);
