--- a/crates/controller/src/configure.rs
+++ b/crates/controller/src/configure.rs
@@ -5,7 +5,7 @@
 use cottoncrank::budget::Purpose;
 use cottoncrank::command::{Change, resolve_verb};
 use cottoncrank::config::{ChangeError, Document, KEY};
-use cottoncrank::member::{config_watchers, live_in};
+use cottoncrank::member::{list_live, pick_config_watchers};
 use cottoncrank::{Millis, id, wire};
 use cottoncrank_net::store::{StoreError, Swap};
 use rand::Rng;
@@ -101,7 +101,7 @@
         return false;
     }
     let members = state.members();
-    config_watchers(&live_in(&members, &state.settings.hall)).contains(&&state.settings.node)
+    pick_config_watchers(&list_live(&members, &state.settings.hall)).contains(&&state.settings.node)
 }
 
 fn take_in(state: &State, value: &wire::Value) {
--- a/crates/controller/src/domains.rs
+++ b/crates/controller/src/domains.rs
@@ -11,9 +11,9 @@
 use cottoncrank::domain::{self, Document};
 use cottoncrank::engine::{Obeyed, Order};
 use cottoncrank::evidence::{Evidence, gather_evidence};
-use cottoncrank::member::{Member, decider, live_in};
-use cottoncrank::row::{Body, Group, Key, Row, Whole};
-use cottoncrank::view::judge_group;
+use cottoncrank::member::{Member, list_live, pick_decider};
+use cottoncrank::row::{Body, Group, Key, Readiness, Row};
+use cottoncrank::view::assess_group;
 use cottoncrank::{Millis, config, id, wire};
 use cottoncrank_net::store::{StoreError, Swap};
 use parking_lot::Mutex;
@@ -52,11 +52,11 @@
 /// The domains this node decides for. What it knew of others is forgotten.
 fn list_own(state: &State, config: &config::Document, members: &[Member]) -> Vec<id::Domain> {
     let hall = &state.settings.hall;
-    let live = live_in(members, hall);
+    let live = list_live(members, hall);
     let names = config.of(Kind::Domain).filter_map(|(name, _)| name.parse::<id::Domain>().ok());
     let own: Vec<id::Domain> = names
         .filter(|domain| config.hall_of(domain) == Some(hall))
-        .filter(|domain| decider(domain, &live) == Some(&state.settings.node))
+        .filter(|domain| pick_decider(domain, &live) == Some(&state.settings.node))
         .collect();
     state.documents.lock().retain(|domain, _| own.contains(domain));
     state.holds.lock().retain(|domain, _| own.contains(domain));
@@ -98,7 +98,9 @@
 fn count_nodes(state: &State, members: &[Member]) -> (usize, usize) {
     let of_hall = members.iter().filter(|member| member.node.hall == state.settings.hall);
     let live = of_hall.clone().filter(|member| member.live).count();
-    let lost = of_hall.filter(|m| m.lost.is_some_and(|since| state.now().since(since) < RECENT)).count();
+    let lost = of_hall
+        .filter(|m| m.unreachable_since.is_some_and(|since| state.now().since(since) < RECENT))
+        .count();
     (live, live + lost)
 }
 
@@ -221,10 +223,10 @@
 
 /// Tells the other halls which groups of the domain may take work.
 fn note_conditions(state: &State, members: &[Member], document: &Document) {
-    let live = live_in(members, &state.settings.hall);
+    let live = list_live(members, &state.settings.hall);
     for (id, group) in &document.groups {
-        let condition = judge_group(&state.table.lock(), &live, id, group, state.now());
-        let whole = Whole { generation: group.generation, condition };
+        let condition = assess_group(&state.table.lock(), &live, id, group, state.now());
+        let whole = Readiness { generation: group.generation, condition };
         state.write(Key::Whole(id.clone()), Body::Whole(whole));
     }
 }
--- a/crates/controller/src/gossip.rs
+++ b/crates/controller/src/gossip.rs
@@ -12,7 +12,7 @@
 use cottoncrank::member::Member;
 use cottoncrank::row::{Body, Key, Row, Urgency};
 use cottoncrank::table::{Scope, Table};
-use cottoncrank::wire::{Exchange, Packed};
+use cottoncrank::wire::{Exchange, PackedExchange};
 use cottoncrank::{Millis, config, id};
 use rand::Rng;
 use rand::seq::{IndexedRandom, SliceRandom};
@@ -99,7 +99,7 @@
     /// The sender's half of an exchange with a peer at configuration `theirs`.
     fn compose(&self, theirs: Option<id::Revision>, scope: Scope) -> Exchange {
         let grant = self.allowance.lock().grant(self.now());
-        let rows = self.table.lock().take_news(scope, grant);
+        let rows = self.table.lock().collect_pending(scope, grant);
         let (revision, delta) = self.compose_delta(theirs);
         Exchange { revision, delta, ..self.message(rows) }
     }
@@ -119,14 +119,14 @@
     }
 
     /// Packs a message and pays for it.
-    fn pack(&self, message: &Exchange) -> Packed {
-        let packed = Packed::pack(message);
+    fn pack(&self, message: &Exchange) -> PackedExchange {
+        let packed = PackedExchange::pack(message);
         self.allowance.lock().spend(packed.len());
         packed
     }
 
     fn scope_of(&self, hall: &id::Hall) -> Scope {
-        if *hall == self.settings.hall { Scope::Hall } else { Scope::Wide }
+        if *hall == self.settings.hall { Scope::Hall } else { Scope::Fleet }
     }
 
     fn compose_delta(&self, theirs: Option<id::Revision>) -> (id::Revision, Option<config::Delta>) {
@@ -163,7 +163,7 @@
 
     /// Answers a peer's half of an exchange. If the tables differ although the
     /// news was exchanged, the answer asks for what differs.
-    pub fn answer_exchange(&self, exchange: Exchange) -> Packed {
+    pub fn answer_exchange(&self, exchange: Exchange) -> PackedExchange {
         self.withdraw_doubt(&exchange.from);
         let theirs = exchange.delta.as_ref().map_or(exchange.revision, |delta| delta.revision);
         let scope = self.scope_of(&exchange.hall);
@@ -174,7 +174,7 @@
             let newcomer = marks.len() < NEWCOMER;
             let least = if newcomer { NEWCOMER_BYTES } else { 0 };
             answer.rows.extend(self.list_lacking(sums, marks, least));
-            answer.marks = (!newcomer).then(|| self.table.lock().marks(sums));
+            answer.marks = (!newcomer).then(|| self.table.lock().list_marks(sums));
         }
         let affordable = self.allowance.lock().grant(self.now()) > 0;
         let table = self.table.lock();
@@ -189,20 +189,20 @@
     /// The rows that a peer lacks, as far as the allowance goes, or `least` bytes.
     fn list_lacking(&self, sums: &[u64], marks: &[u32], least: usize) -> Vec<Row> {
         let grant = self.allowance.lock().grant(self.now()).max(least);
-        self.table.lock().lacking(sums, marks, grant, rand::random())
+        self.table.lock().list_missing(sums, marks, grant, rand::random())
     }
 
     /// Sends one message to a peer and unpacks its answer.
     async fn send(&self, peer: &Peer, message: &Exchange) -> Option<Exchange> {
         let packed = self.pack(message);
-        let answer: Packed = self.peers.call(peer.address, "/exchange", &packed, WAIT).await.ok()?;
+        let answer: PackedExchange = self.peers.call(peer.address, "/exchange", &packed, WAIT).await.ok()?;
         answer.unpack().ok()
     }
 
     /// Makes one exchange with a peer; returns whether it answered. With
     /// `compare` the tables are brought to the same rows.
     async fn exchange(&self, peer: &Peer, compare: bool) -> bool {
-        let scope = if peer.place == Place::Near { Scope::Hall } else { Scope::Wide };
+        let scope = if peer.place == Place::Near { Scope::Hall } else { Scope::Fleet };
         // Several nodes may tell the same peer of a new configuration at once, so it
         // is told the revision, and sent the entries once it says that it lacks them.
         let mut message = self.compose(None, scope);
@@ -230,7 +230,7 @@
         message.total = Some(table.total(scope));
         if table.len() < NEWCOMER {
             message.sums = Some(table.sums(scope).to_vec());
-            message.marks = Some(table.all_marks(scope));
+            message.marks = Some(table.list_all_marks(scope));
         }
     }
 
@@ -246,7 +246,7 @@
         if let Some(sums) = &sums {
             let table = self.table.lock();
             message.sums = Some(table.sums(scope).to_vec());
-            message.marks = Some(table.marks(sums));
+            message.marks = Some(table.list_marks(sums));
         }
         let Some(answer) = self.send(peer, &message).await else { return };
         let marks = answer.marks.clone();
@@ -311,7 +311,7 @@
         self.store.resize(members.iter().filter(|member| member.live).count());
         let known: HashSet<SocketAddr> = members.iter().map(|member| member.node.peer).collect();
         let now = self.now();
-        let gone = |member: &Member| member.lost.is_some_and(|since| now.since(since) > FORGET);
+        let gone = |member: &Member| member.unreachable_since.is_some_and(|since| now.since(since) > FORGET);
         let others = members.into_iter().filter(|member| member.id != self.settings.node && !gone(member));
         let mut peers: Vec<Peer> = others.filter(|m| !m.node.leaving).map(|m| Peer::new(m, self)).collect();
         let seeds = self.settings.seeds.iter().filter(|seed| !known.contains(seed));
--- a/crates/controller/src/listing.rs
+++ b/crates/controller/src/listing.rs
@@ -4,8 +4,8 @@
 
 use bytes::Bytes;
 use cottoncrank::config::{Entry, Kind};
-use cottoncrank::member::{list_readers, live_in};
-use cottoncrank::row::{Body, Key, Listed, Row};
+use cottoncrank::member::{list_live, pick_list_readers};
+use cottoncrank::row::{Body, Key, Listing, Row};
 use cottoncrank::{Millis, config, id, wire};
 use cottoncrank_net::server::{HeaderMap, Verb};
 
@@ -26,7 +26,8 @@
             continue;
         }
         let members = state.members();
-        let readers = list_readers(&live_in(&members, &state.settings.hall)).contains(&&state.settings.node);
+        let readers =
+            pick_list_readers(&list_live(&members, &state.settings.hall)).contains(&&state.settings.node);
         if !readers {
             continue;
         }
@@ -58,7 +59,7 @@
     let ours = |line: &wire::Listed| is_of_hall(&config, &line.runner, &state.settings.hall);
     for line in list.boxes.into_iter().filter(ours) {
         let key = Key::Listed(line.runner.clone());
-        let body = Body::Listed(Listed { live: line.live, leaving: line.leaving });
+        let body = Body::Listed(Listing { live: line.live, leaving: line.leaving });
         let before = table.get(&key).map(|held| &held.row.body);
         // A box that was always live and stays is not worth a row.
         if before == Some(&body) || (before.is_none() && line.live && !line.leaving) {
--- a/crates/controller/src/operate.rs
+++ b/crates/controller/src/operate.rs
@@ -7,7 +7,7 @@
 use cottoncrank::config::{self, Entry, KEY, Kind};
 use cottoncrank::domain::{Document, Event, Phase, join};
 use cottoncrank::evidence::gather_runner;
-use cottoncrank::member::live_in;
+use cottoncrank::member::list_live;
 use cottoncrank::row::{Body, Group, Key};
 use cottoncrank::view::Condition;
 use cottoncrank::wire::{Reply, Table};
@@ -251,7 +251,7 @@
         if *hall != state.settings.hall {
             continue;
         }
-        let known = gather_runner(&rows, &live_in(&members, hall), &runner);
+        let known = gather_runner(&rows, &list_live(&members, hall), &runner);
         let role = known.seen.as_ref().and_then(|seen| seen.role.clone());
         let mut notes = Vec::new();
         if *drained {
--- a/crates/controller/src/runners.rs
+++ b/crates/controller/src/runners.rs
@@ -6,8 +6,8 @@
 
 use cottoncrank::config::{self, Entry, Kind};
 use cottoncrank::engine::Status;
-use cottoncrank::member::{live_in, watchers};
-use cottoncrank::row::{Body, Key, Load, Seen};
+use cottoncrank::member::{list_live, pick_watchers};
+use cottoncrank::row::{Body, Key, Load, Observation};
 use cottoncrank::{Millis, engine, id};
 use rand::Rng;
 use tokio::task::JoinSet;
@@ -47,7 +47,7 @@
 fn list_share(state: &State) -> Vec<Share> {
     let members = state.members();
     let me = &state.settings.node;
-    let live = live_in(&members, &state.settings.hall);
+    let live = list_live(&members, &state.settings.hall);
     let config = state.config.lock();
     let runners = config.of(Kind::Runner).filter_map(|(name, entry)| match entry {
         Entry::Runner { domain, address, .. } if config.hall_of(domain) == Some(&state.settings.hall) => {
@@ -57,7 +57,7 @@
     });
     runners
         .filter_map(|(runner, address)| {
-            let rank = watchers(&runner, &live).into_iter().position(|watcher| watcher == me)?;
+            let rank = pick_watchers(&runner, &live).into_iter().position(|watcher| watcher == me)?;
             Some(Share { runner, address, first: rank == 0 })
         })
         .collect()
@@ -85,7 +85,7 @@
         if before.as_ref().is_none_or(|seen| seen.answers) {
             log::warn!("runner: {} does not answer", share.runner);
         }
-        let seen = Seen { answers: false, ..before.unwrap_or_else(blank) };
+        let seen = Observation { answers: false, ..before.unwrap_or_else(blank) };
         return state.write(key, Body::Seen(seen));
     };
     if before.is_some_and(|seen| !seen.answers) {
@@ -94,7 +94,7 @@
     if share.first {
         note_load(state, &status);
     }
-    let seen = Seen {
+    let seen = Observation {
         answers: true,
         incarnation: status.incarnation,
         fence: status.fence,
@@ -106,8 +106,8 @@
 }
 
 /// What is known of a runner that never answered.
-fn blank() -> Seen {
-    Seen {
+fn blank() -> Observation {
+    Observation {
         answers: false,
         incarnation: id::Incarnation(0),
         fence: id::Generation(0),
--- a/crates/controller/src/server.rs
+++ b/crates/controller/src/server.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use cottoncrank::Millis;
-use cottoncrank::wire::{Command, EXCHANGE_MAX, Exchange, Packed};
+use cottoncrank::wire::{Command, Exchange, MAX_EXCHANGE_BYTES, PackedExchange};
 use cottoncrank_net::server::{
     Answer, BodyError, Head, Incoming, Service, Status, read_body, read_message, reply, reply_bad,
     reply_json, reply_message, reply_missing,
@@ -49,7 +49,7 @@
 }
 
 async fn read_exchange(body: Incoming) -> Result<Exchange, BodyError> {
-    let packed: Packed = read_message(body, EXCHANGE_MAX).await?;
+    let packed: PackedExchange = read_message(body, MAX_EXCHANGE_BYTES).await?;
     packed.unpack().map_err(|error| BodyError::Unreadable(error.to_string()))
 }
 
--- a/crates/entry/src/api.rs
+++ b/crates/entry/src/api.rs
@@ -6,7 +6,7 @@
 use cottoncrank::engine::Finish;
 use cottoncrank::id;
 use cottoncrank::outcome::Outcome;
-use cottoncrank::wire::Recorded;
+use cottoncrank::wire::KeyedOutcome;
 use cottoncrank_net::server::{Answer, Cut, Status, reply, reply_feed, reply_json};
 use serde::{Deserialize, Serialize};
 use serde_json::json;
@@ -128,10 +128,10 @@
     answer
 }
 
-fn record_failure(failure: &Failure) -> Recorded {
+fn record_failure(failure: &Failure) -> KeyedOutcome {
     match failure.outcome {
-        Outcome::NotRun => Recorded::NotRun,
-        Outcome::MayHaveRun | Outcome::PartlyAnswered => Recorded::MayHaveRun,
+        Outcome::NotRun => KeyedOutcome::NotRun,
+        Outcome::MayHaveRun | Outcome::PartlyAnswered => KeyedOutcome::MayHaveRun,
     }
 }
 
@@ -166,7 +166,9 @@
     drop(admission);
     let body = writer.whole(&text, finish, relay.delivered());
     let kept = (body.len() <= KEEP_MAX).then(|| body.clone());
-    guard.close(Recorded::Answered { status: 200, kind: "application/json".to_owned(), body: kept }).await;
+    guard
+        .close(KeyedOutcome::Answered { status: 200, kind: "application/json".to_owned(), body: kept })
+        .await;
     let mut answer = reply(Status::OK, "application/json", body);
     writer.mark(&mut answer);
     answer
@@ -191,12 +193,14 @@
         };
         if sender.send(Ok(event)).await.is_err() {
             log::info!("relay: request {:016x}: its caller left", writer.request.0);
-            break Recorded::MayHaveRun;
+            break KeyedOutcome::MayHaveRun;
         }
         if last {
             break match &next {
                 Err(failure) => record_failure(failure),
-                Ok(_) => Recorded::Answered { status: 200, kind: "text/event-stream".to_owned(), body: None },
+                Ok(_) => {
+                    KeyedOutcome::Answered { status: 200, kind: "text/event-stream".to_owned(), body: None }
+                }
             };
         }
         next = tokio::select! {
--- a/crates/entry/src/front.rs
+++ b/crates/entry/src/front.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use cottoncrank::view::View;
-use cottoncrank::wire::{Claim, Recorded};
+use cottoncrank::wire::{Claim, KeyedOutcome};
 use cottoncrank_net::server::{
     Answer, BodyError, Head, Incoming, Service, Status, discard_body, header, read_body, read_message,
     reply_bad, reply_message, reply_missing,
@@ -150,14 +150,14 @@
     async fn open_key(&self, terms: &Terms) -> Result<Result<Guard, Answer>, Failure> {
         match keys::open(&self.0, terms).await? {
             Gate::Run => Ok(Ok(Guard::new(self.0.clone(), terms.clone()))),
-            Gate::Repeat(Recorded::Answered { status, kind, body: Some(body) }) => {
+            Gate::Repeat(KeyedOutcome::Answered { status, kind, body: Some(body) }) => {
                 let status = Status::from_u16(status).unwrap_or(Status::OK);
                 Ok(Err(services::answer(status, &kind, body.into())))
             }
-            Gate::Repeat(Recorded::Answered { body: None, .. }) => {
+            Gate::Repeat(KeyedOutcome::Answered { body: None, .. }) => {
                 Err(Failure { cause: Cause::KeyDone, outcome: cottoncrank::outcome::Outcome::MayHaveRun })
             }
-            Gate::Repeat(Recorded::MayHaveRun | Recorded::NotRun) => {
+            Gate::Repeat(KeyedOutcome::MayHaveRun | KeyedOutcome::NotRun) => {
                 Err(Failure { cause: Cause::KeyDone, outcome: cottoncrank::outcome::Outcome::MayHaveRun })
             }
         }
--- a/crates/entry/src/keys.rs
+++ b/crates/entry/src/keys.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use cottoncrank::claim::{Verdict, find_owners, judge};
-use cottoncrank::wire::{Claim, Claimed, Recorded};
+use cottoncrank::wire::{Claim, ClaimReply, KeyedOutcome};
 use cottoncrank::{Millis, view};
 
 use crate::caller::Terms;
@@ -22,22 +22,22 @@
     /// It may run.
     Run,
     /// It ran before; this was its answer.
-    Repeat(Recorded),
+    Repeat(KeyedOutcome),
 }
 
 /// Answers another entry, or this one.
-pub fn answer_claim(state: &State, claim: Claim) -> Claimed {
+pub fn answer_claim(state: &State, claim: Claim) -> ClaimReply {
     let now = state.now();
     match claim {
         Claim::Open { account, key, request } => state.ledger(&key).lock().open(&account, &key, request, now),
         Claim::Close { account, key, request, outcome } => {
             state.ledger(&key).lock().close(&account, &key, request, outcome, now);
-            Claimed::Noted
+            ClaimReply::Noted
         }
     }
 }
 
-async fn ask(state: &State, owner: &view::Node, claim: Claim) -> Option<Claimed> {
+async fn ask(state: &State, owner: &view::Node, claim: Claim) -> Option<ClaimReply> {
     if owner.id == state.settings.node {
         return Some(answer_claim(state, claim));
     }
@@ -62,7 +62,7 @@
     let verdict = judge(&answers, &view.nodes, state.now());
     if verdict != Verdict::Run {
         // Owners that gave the key to this request get it back.
-        close(state, terms, Recorded::NotRun).await;
+        close(state, terms, KeyedOutcome::NotRun).await;
     }
     match verdict {
         Verdict::Run => Ok(Gate::Run),
@@ -73,7 +73,7 @@
 }
 
 /// Tells the owners how the request ended.
-pub async fn close(state: &State, terms: &Terms, outcome: Recorded) {
+pub async fn close(state: &State, terms: &Terms, outcome: KeyedOutcome) {
     let Some(key) = &terms.key else { return };
     let view = state.view();
     for owner in find_owners(&terms.account, key, &view.nodes) {
@@ -104,7 +104,7 @@
     }
 
     /// Tells the owners how it ended.
-    pub async fn close(mut self, outcome: Recorded) {
+    pub async fn close(mut self, outcome: KeyedOutcome) {
         if self.open {
             self.open = false;
             close(&self.state, &self.terms, outcome).await;
@@ -118,6 +118,6 @@
             return;
         }
         let (state, terms) = (self.state.clone(), self.terms.clone());
-        tokio::spawn(async move { close(&state, &terms, Recorded::MayHaveRun).await });
+        tokio::spawn(async move { close(&state, &terms, KeyedOutcome::MayHaveRun).await });
     }
 }
--- a/crates/entry/src/relay.rs
+++ b/crates/entry/src/relay.rs
@@ -6,8 +6,8 @@
 
 use bytes::{Buf, Bytes, BytesMut};
 use cottoncrank::engine::{Finish, Frame, Generate, Refusal};
-use cottoncrank::outcome::{Fate, Next};
-use cottoncrank::route::{Choice, pick};
+use cottoncrank::outcome::{Progress, Recovery};
+use cottoncrank::route::{Candidate, pick_candidate};
 use cottoncrank::view::{Condition, Group};
 use cottoncrank::{Millis, id};
 use cottoncrank_net::client::CallError;
@@ -93,7 +93,7 @@
     state: Arc<State>,
     terms: Terms,
     job: Job,
-    fate: Fate,
+    progress: Progress,
     delivered: u32,
     present: Option<Try>,
     /// The group of the last failed try; others go first.
@@ -104,8 +104,8 @@
 impl Relay {
     /// A request that was admitted.
     pub fn new(state: Arc<State>, terms: Terms, job: Job) -> Relay {
-        let fate = Fate::new(terms.once);
-        Relay { state, terms, job, fate, delivered: 0, present: None, avoid: None, finished: false }
+        let progress = Progress::new(terms.once);
+        Relay { state, terms, job, progress, delivered: 0, present: None, avoid: None, finished: false }
     }
 
     /// Tokens passed on so far.
@@ -146,10 +146,10 @@
     }
 
     fn deliver(&mut self, piece: Piece) -> Piece {
-        self.fate.deliver();
+        self.progress.mark_delivered();
         self.delivered += piece.tokens;
         if piece.finish.is_some() {
-            self.fate.finish();
+            self.progress.mark_complete();
             self.finished = true;
             self.present = None;
             self.state.earn_retry(&self.terms.account);
@@ -173,23 +173,23 @@
             _ if full => Cause::Full,
             _ => Cause::Retries,
         };
-        let next = self.fate.fail(true);
-        let outcome = self.fate.outcome();
+        let next = self.progress.fail_attempt(true);
+        let outcome = self.progress.outcome();
         if cause == Cause::Deadline {
             return Err(Failure { cause, outcome });
         }
         match next {
-            Next::Fail(outcome) => Err(Failure { cause, outcome }),
-            Next::Retry | Next::Resume if !self.state.spend_retry(&self.terms.account) => {
+            Recovery::Fail(outcome) => Err(Failure { cause, outcome }),
+            Recovery::Retry | Recovery::Resume if !self.state.spend_retry(&self.terms.account) => {
                 Err(Failure { cause: if full { Cause::Full } else { Cause::Retries }, outcome })
             }
-            Next::Retry | Next::Resume => Ok(()),
+            Recovery::Retry | Recovery::Resume => Ok(()),
         }
     }
 
     /// Picks a group for the next try.
     fn choose(&self) -> Result<Group, Failure> {
-        let outcome = self.fate.outcome();
+        let outcome = self.progress.outcome();
         let fail = |cause| Failure { cause, outcome };
         if self.state.now() >= self.terms.deadline {
             return Err(fail(Cause::Deadline));
@@ -211,15 +211,15 @@
         let others: Vec<&Group> =
             open.iter().copied().filter(|group| Some(&group.id) != self.avoid.as_ref()).collect();
         let from = if others.is_empty() { open } else { others };
-        let choices: Vec<Choice> = from
+        let choices: Vec<Candidate> = from
             .iter()
-            .map(|group| Choice {
+            .map(|group| Candidate {
                 reported: group.load.backlog,
-                own: self.state.sent_to(&group.id),
+                outstanding: self.state.sent_to(&group.id),
                 near: group.near,
             })
             .collect();
-        let picked = pick(self.state.policy, &choices, self.state.next_turn(), &mut rand::rng());
+        let picked = pick_candidate(self.state.policy, &choices, self.state.next_turn(), &mut rand::rng());
         match picked {
             Some(at) => Ok(from[at].clone()),
             None => Err(fail(Cause::NoGroup(self.job.model.to_string()))),
@@ -242,7 +242,7 @@
         let mut headers = HeaderMap::new();
         self.terms.trace.child(&mut rand::rng()).pass(&mut headers);
         let wait = self.terms.deadline.since(self.state.now());
-        self.fate.connect();
+        self.progress.begin_attempt();
         self.state.add_sent(&group.id, owed);
         let sending =
             self.state.client.send(group.address, Verb::POST, "/generate", headers, body.into(), wait);
@@ -255,12 +255,12 @@
             Err(error) => {
                 self.state.sub_sent(&group.id, owed);
                 if !matches!(&error, TryError::Call(error) if error.is_unsent()) {
-                    self.fate.send();
+                    self.progress.mark_sent();
                 }
                 return Err(error);
             }
         };
-        self.fate.send();
+        self.progress.mark_sent();
         let status = answer.status();
         let opened = Try {
             group: group.id.clone(),
@@ -287,7 +287,7 @@
             Ok(refusal)
                 if refusal.request == self.terms.request && refusal.generation == refused.generation =>
             {
-                self.fate.refuse();
+                self.progress.mark_rejected();
                 TryError::Refused(refusal)
             }
             _ => TryError::Foreign,
--- a/crates/entry/src/services.rs
+++ b/crates/entry/src/services.rs
@@ -5,8 +5,8 @@
 
 use bytes::Bytes;
 use cottoncrank::Millis;
-use cottoncrank::outcome::{Fate, Next, Outcome};
-use cottoncrank::wire::Recorded;
+use cottoncrank::outcome::{Outcome, Progress, Recovery};
+use cottoncrank::wire::KeyedOutcome;
 use cottoncrank_net::client::read_all;
 use cottoncrank_net::server::{Answer, HeaderMap, Status, Verb, header, reply};
 
@@ -51,14 +51,15 @@
     match attempt(state, terms, call).await {
         Ok(got) => {
             let body = (got.body.len() <= KEEP_MAX).then(|| got.body.to_vec());
-            let recorded = Recorded::Answered { status: got.status.as_u16(), kind: got.kind.clone(), body };
+            let recorded =
+                KeyedOutcome::Answered { status: got.status.as_u16(), kind: got.kind.clone(), body };
             guard.close(recorded).await;
             answer(got.status, &got.kind, got.body)
         }
         Err(failure) => {
             let recorded = match failure.outcome {
-                Outcome::NotRun => Recorded::NotRun,
-                Outcome::MayHaveRun | Outcome::PartlyAnswered => Recorded::MayHaveRun,
+                Outcome::NotRun => KeyedOutcome::NotRun,
+                Outcome::MayHaveRun | Outcome::PartlyAnswered => KeyedOutcome::MayHaveRun,
             };
             guard.close(recorded).await;
             failure.answer(terms.request)
@@ -83,27 +84,27 @@
     if addresses.is_empty() {
         return Err(missing());
     }
-    let mut fate = Fate::new(terms.once || !call.is_idempotent());
+    let mut progress = Progress::new(terms.once || !call.is_idempotent());
     let start = state.next_turn() as usize;
     for turn in start.. {
         let address = addresses[turn % addresses.len()];
         let left = terms.deadline.since(state.now());
         if left == Millis(0) {
-            return Err(Failure { cause: Cause::Deadline, outcome: fate.outcome() });
+            return Err(Failure { cause: Cause::Deadline, outcome: progress.outcome() });
         }
-        fate.connect();
-        if let Some(got) = send(state, terms, call, address, left, &mut fate).await {
-            fate.finish();
+        progress.begin_attempt();
+        if let Some(got) = send(state, terms, call, address, left, &mut progress).await {
+            progress.mark_complete();
             state.earn_retry(&terms.account);
             return Ok(got);
         }
         metrics::counter!("cottoncrank_tries_failed").increment(1);
-        let next = fate.fail(false);
-        if let Next::Fail(outcome) = next {
+        let next = progress.fail_attempt(false);
+        if let Recovery::Fail(outcome) = next {
             return Err(Failure { cause: Cause::Backend(address), outcome });
         }
         if !state.spend_retry(&terms.account) {
-            return Err(Failure { cause: Cause::Retries, outcome: fate.outcome() });
+            return Err(Failure { cause: Cause::Retries, outcome: progress.outcome() });
         }
     }
     Err(missing())
@@ -116,7 +117,7 @@
     call: &Call,
     address: SocketAddr,
     wait: Millis,
-    fate: &mut Fate,
+    progress: &mut Progress,
 ) -> Option<Got> {
     let mut headers = HeaderMap::new();
     if let Some(kind) = &call.kind {
@@ -133,14 +134,14 @@
         Err(error) => {
             log::warn!("service: {}: {error}", call.service);
             if !error.is_unsent() {
-                fate.send();
+                progress.mark_sent();
             }
             return None;
         }
     };
-    fate.send();
+    progress.mark_sent();
     if answer.headers().contains_key(NOT_RUN) {
-        fate.refuse();
+        progress.mark_rejected();
         return None;
     }
     let status = answer.status();
--- a/crates/entry/src/state.rs
+++ b/crates/entry/src/state.rs
@@ -8,7 +8,7 @@
 use cottoncrank::clock::System;
 use cottoncrank::hash::hash;
 use cottoncrank::retry::Budget;
-use cottoncrank::view::{STALE, View};
+use cottoncrank::view::{VIEW_TTL, View};
 use cottoncrank::{Clock, Millis, id, route};
 use cottoncrank_net::client::Client;
 use parking_lot::{Mutex, RwLock};
@@ -107,7 +107,7 @@
 
     /// Whether the view is too old to send model work by.
     pub fn is_stale(&self) -> bool {
-        self.now().since(Millis(self.heard.load(Ordering::Relaxed))) > STALE
+        self.now().since(Millis(self.heard.load(Ordering::Relaxed))) > VIEW_TTL
     }
 
     /// The shard of the ledger for a key.
--- a/crates/kernel/benches/decisions.rs
+++ b/crates/kernel/benches/decisions.rs
@@ -11,7 +11,7 @@
 use cottoncrank::engine::{Role, Stage};
 use cottoncrank::evidence::gather_evidence;
 use cottoncrank::id::{self, Generation, Incarnation, Proposal, Revision};
-use cottoncrank::member::{list_members, live_in, watchers};
+use cottoncrank::member::{list_live, list_members, pick_watchers};
 use cottoncrank::row::{self, Body, Key};
 use cottoncrank::table::{Scope, Table};
 use cottoncrank::view::derive_view;
@@ -82,14 +82,14 @@
         hall.table.write(Key::Group(id.clone()), Body::Group(Some(body)), NOW);
     }
     let members = list_members(&hall.table, NOW);
-    let live = live_in(&members, &hall.name);
+    let live = list_live(&members, &hall.name);
     for (n, runner) in hall.runners.iter().enumerate() {
         let role = hall.document.group_of(runner).map(|(id, group)| Role {
             group: id.clone(),
             generation: group.generation,
             rank: (n % SIZE) as u16,
         });
-        let seen = row::Seen {
+        let seen = row::Observation {
             answers: true,
             incarnation: Incarnation(1),
             fence: Generation(4),
@@ -97,7 +97,7 @@
             role,
             warm: None,
         };
-        for by in watchers(runner, &live) {
+        for by in pick_watchers(runner, &live) {
             let key = Key::Seen { runner: runner.clone(), by: by.clone() };
             hall.table.write(key, Body::Seen(seen.clone()), NOW);
         }
@@ -128,7 +128,7 @@
     };
     criterion.bench_function("decide for a domain of 120 runners", |b| b.iter(|| black_box(decide())));
     criterion.bench_function("compare a whole table", |b| {
-        b.iter(|| black_box(hall.table.lacking(&[1; 32], &[], usize::MAX, 0)).len());
+        b.iter(|| black_box(hall.table.list_missing(&[1; 32], &[], usize::MAX, 0)).len());
     });
     criterion.bench_function("one checksum", |b| b.iter(|| black_box(hall.table.total(Scope::Hall))));
 }
--- a/crates/kernel/src/claim.rs
+++ b/crates/kernel/src/claim.rs
@@ -10,7 +10,7 @@
 use crate::hash::pick_owners;
 use crate::id;
 use crate::view;
-use crate::wire::{Claimed, Recorded};
+use crate::wire::{ClaimReply, KeyedOutcome};
 
 /// What the owners' answers mean for a request that wants to run.
 #[derive(Clone, Debug, PartialEq)]
@@ -20,7 +20,7 @@
     /// Another request with this key is in flight.
     Running,
     /// Another request with this key has ended.
-    Done(Recorded),
+    Done(KeyedOutcome),
     /// Nobody can say whether a request with this key ran before.
     Unsure,
 }
@@ -31,13 +31,13 @@
 /// only if some owner that answered was an owner all through the horizon; a
 /// hall in which no node is that old has just been started, and then all
 /// owners have to agree.
-pub fn judge(owners: &[(&view::Node, Option<Claimed>)], nodes: &[view::Node], now: Millis) -> Verdict {
+pub fn judge(owners: &[(&view::Node, Option<ClaimReply>)], nodes: &[view::Node], now: Millis) -> Verdict {
     let mut running = false;
     for (_, claimed) in owners {
         match claimed {
-            Some(Claimed::Done(recorded)) => return Verdict::Done(recorded.clone()),
-            Some(Claimed::Running) => running = true,
-            Some(Claimed::First | Claimed::Noted) | None => {}
+            Some(ClaimReply::Done(recorded)) => return Verdict::Done(recorded.clone()),
+            Some(ClaimReply::Running) => running = true,
+            Some(ClaimReply::First | ClaimReply::Noted) | None => {}
         }
     }
     if running {
@@ -65,7 +65,7 @@
 #[derive(Clone, Debug)]
 struct Slot {
     request: id::Request,
-    recorded: Option<Recorded>,
+    recorded: Option<KeyedOutcome>,
     until: Millis,
 }
 
@@ -77,12 +77,18 @@
 
 impl Ledger {
     /// Gives the key to `request` if it is free. The same request may ask twice.
-    pub fn open(&mut self, account: &id::Account, key: &str, request: id::Request, now: Millis) -> Claimed {
+    pub fn open(
+        &mut self,
+        account: &id::Account,
+        key: &str,
+        request: id::Request,
+        now: Millis,
+    ) -> ClaimReply {
         let at = (account.clone(), key.to_owned());
         if self.slots.len() >= KEYS_MAX && !self.slots.contains_key(&at) {
             self.sweep(now);
             if self.slots.len() >= KEYS_MAX {
-                return Claimed::Running;
+                return ClaimReply::Running;
             }
         }
         let free = Slot { request, recorded: None, until: now + HORIZON };
@@ -91,9 +97,9 @@
             *slot = free;
         }
         match &slot.recorded {
-            _ if slot.request == request => Claimed::First,
-            Some(recorded) => Claimed::Done(recorded.clone()),
-            None => Claimed::Running,
+            _ if slot.request == request => ClaimReply::First,
+            Some(recorded) => ClaimReply::Done(recorded.clone()),
+            None => ClaimReply::Running,
         }
     }
 
@@ -103,11 +109,11 @@
         account: &id::Account,
         key: &str,
         request: id::Request,
-        outcome: Recorded,
+        outcome: KeyedOutcome,
         now: Millis,
     ) {
         let at = (account.clone(), key.to_owned());
-        if outcome == Recorded::NotRun {
+        if outcome == KeyedOutcome::NotRun {
             if self.slots.get(&at).is_some_and(|slot| slot.request == request) {
                 self.slots.remove(&at);
             }
@@ -155,10 +161,10 @@
     fn only_the_first_request_gets_the_key() {
         let mut ledger = Ledger::default();
         let (one, two) = (id::Request(1), id::Request(2));
-        assert_eq!(ledger.open(&account(), "k", one, Millis(0)), Claimed::First);
-        assert_eq!(ledger.open(&account(), "k", two, Millis(1)), Claimed::Running);
-        ledger.close(&account(), "k", one, Recorded::MayHaveRun, Millis(2));
-        assert_eq!(ledger.open(&account(), "k", two, Millis(3)), Claimed::Done(Recorded::MayHaveRun));
+        assert_eq!(ledger.open(&account(), "k", one, Millis(0)), ClaimReply::First);
+        assert_eq!(ledger.open(&account(), "k", two, Millis(1)), ClaimReply::Running);
+        ledger.close(&account(), "k", one, KeyedOutcome::MayHaveRun, Millis(2));
+        assert_eq!(ledger.open(&account(), "k", two, Millis(3)), ClaimReply::Done(KeyedOutcome::MayHaveRun));
     }
 
     #[test]
@@ -166,17 +172,17 @@
         let mut ledger = Ledger::default();
         let (one, two) = (id::Request(1), id::Request(2));
         ledger.open(&account(), "k", one, Millis(0));
-        ledger.close(&account(), "k", two, Recorded::NotRun, Millis(1));
-        assert_eq!(ledger.open(&account(), "k", two, Millis(2)), Claimed::Running);
-        ledger.close(&account(), "k", one, Recorded::NotRun, Millis(3));
-        assert_eq!(ledger.open(&account(), "k", two, Millis(4)), Claimed::First);
+        ledger.close(&account(), "k", two, KeyedOutcome::NotRun, Millis(1));
+        assert_eq!(ledger.open(&account(), "k", two, Millis(2)), ClaimReply::Running);
+        ledger.close(&account(), "k", one, KeyedOutcome::NotRun, Millis(3));
+        assert_eq!(ledger.open(&account(), "k", two, Millis(4)), ClaimReply::First);
     }
 
     #[test]
     fn keys_are_forgotten_after_the_horizon() {
         let mut ledger = Ledger::default();
         ledger.open(&account(), "k", id::Request(1), Millis(0));
-        assert_eq!(ledger.open(&account(), "k", id::Request(2), HORIZON), Claimed::First);
+        assert_eq!(ledger.open(&account(), "k", id::Request(2), HORIZON), ClaimReply::First);
         ledger.sweep(HORIZON + HORIZON);
         assert!(ledger.is_empty());
     }
@@ -194,12 +200,12 @@
         let now = Millis(10_000_000);
         let (old, old_too, young) = (node(0, 0), node(1, 0), node(2, now.0 - 5));
         let nodes = [old.clone(), old_too.clone(), young.clone()];
-        let first = || Some(Claimed::First);
+        let first = || Some(ClaimReply::First);
         assert_eq!(judge(&[(&old, first()), (&young, first())], &nodes, now), Verdict::Run);
         assert_eq!(judge(&[(&old, None), (&young, first())], &nodes, now), Verdict::Unsure);
         assert_eq!(judge(&[(&old, first()), (&old_too, None)], &nodes, now), Verdict::Run);
         assert_eq!(
-            judge(&[(&old, first()), (&young, Some(Claimed::Running))], &nodes, now),
+            judge(&[(&old, first()), (&young, Some(ClaimReply::Running))], &nodes, now),
             Verdict::Running
         );
         let fresh = [young.clone(), node(3, now.0)];
--- a/crates/kernel/src/decide.rs
+++ b/crates/kernel/src/decide.rs
@@ -17,7 +17,7 @@
 
 /// How long after the drain of a group its requests in flight are trusted to
 /// be all there are: every entry refuses to work on a input older than
-/// [`crate::view::STALE`], which is shorter.
+/// [`crate::view::VIEW_TTL`], which is shorter.
 pub const DRAIN_WAIT: Millis = Millis(4000);
 
 /// Everything a decision rests on.
--- a/crates/kernel/src/domain.rs
+++ b/crates/kernel/src/domain.rs
@@ -295,6 +295,6 @@
         assert_eq!(document.events.len(), EVENTS);
         let size = rmp_serde::to_vec(&document).unwrap().len();
         println!("{size} bytes");
-        assert!(size < crate::wire::VALUE_MAX / 16, "{size} bytes");
+        assert!(size < crate::wire::MAX_VALUE_BYTES / 16, "{size} bytes");
     }
 }
--- a/crates/kernel/src/evidence.rs
+++ b/crates/kernel/src/evidence.rs
@@ -9,8 +9,8 @@
 use crate::domain::{self, Place};
 use crate::engine::Stage;
 use crate::id;
-use crate::member::{Member, live_in, watchers};
-use crate::row::{Body, Key, Listed, Load, Seen};
+use crate::member::{Member, list_live, pick_watchers};
+use crate::row::{Body, Key, Listing, Load, Observation};
 use crate::table::Table;
 
 /// How long one watcher alone may keep a group from serving while the other
@@ -21,7 +21,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Runner {
     /// The newest report of a watcher that reaches it.
-    pub seen: Option<Seen>,
+    pub seen: Option<Observation>,
     /// The watchers that reach it.
     pub reached: Vec<id::Node>,
     /// The watchers that do not.
@@ -31,7 +31,7 @@
     /// Live watchers that have not reported yet count as silent.
     pub unreported: usize,
     /// What the list says.
-    pub listed: Option<Listed>,
+    pub listed: Option<Listing>,
 }
 
 impl Runner {
@@ -79,7 +79,7 @@
         place: &Place,
         now: Millis,
     ) -> bool {
-        let Some(Seen { role: Some(role), stage: Stage::Ready, incarnation, .. }) = &self.seen else {
+        let Some(Observation { role: Some(role), stage: Stage::Ready, incarnation, .. }) = &self.seen else {
             return false;
         };
         self.is_reachable(now)
@@ -119,7 +119,7 @@
 pub fn gather_runner(table: &Table, live: &[&id::Node], runner: &id::Runner) -> Runner {
     let mut known = Runner::default();
     let mut newest = 0;
-    for watcher in watchers(runner, live) {
+    for watcher in pick_watchers(runner, live) {
         let key = Key::Seen { runner: runner.clone(), by: watcher.clone() };
         let Some(held) = table.get(&key) else {
             known.unreported += 1;
@@ -154,7 +154,7 @@
     runners: impl Iterator<Item = &'a id::Runner>,
     groups: impl Iterator<Item = &'a id::Group>,
 ) -> Evidence {
-    let live = live_in(members, hall);
+    let live = list_live(members, hall);
     let runners = runners.map(|runner| (runner.clone(), gather_runner(table, &live, runner))).collect();
     let load = |group: &id::Group| {
         let held = table.get(&Key::Load(group.clone()))?;
@@ -179,8 +179,8 @@
         Place { runner: "r".parse().unwrap(), incarnation: id::Incarnation(1) }
     }
 
-    fn ready(incarnation: u64) -> Seen {
-        Seen {
+    fn ready(incarnation: u64) -> Observation {
+        Observation {
             answers: true,
             incarnation: id::Incarnation(incarnation),
             fence: id::Generation(3),
@@ -210,7 +210,7 @@
 
     #[test]
     fn it_takes_two_witnesses_to_be_missing_and_the_list_is_one() {
-        let gone = Some(Listed { live: false, leaving: false });
+        let gone = Some(Listing { live: false, leaving: false });
         let one = Runner { missed: vec![node("a")], ..Runner::default() };
         let two = Runner { missed: vec![node("a"), node("b")], ..Runner::default() };
         let listed = Runner { listed: gone, ..one.clone() };
--- a/crates/kernel/src/member.rs
+++ b/crates/kernel/src/member.rs
@@ -10,7 +10,7 @@
 
 /// How long two doubts must stand before a node counts as gone. It leaves the
 /// node time to refute them.
-pub const DOUBT_WAIT: Millis = Millis(1500);
+pub const DOUBT_CONFIRM_TIME: Millis = Millis(1500);
 
 /// How many nodes watch one runner.
 pub const WATCHERS: usize = 2;
@@ -27,7 +27,7 @@
     /// Whether it counts as live.
     pub live: bool,
     /// Since when it does not answer, if it does not.
-    pub lost: Option<Millis>,
+    pub unreachable_since: Option<Millis>,
 }
 
 /// Every node that the table knows, live or not.
@@ -43,7 +43,7 @@
             node: node.clone(),
             version,
             live: !node.leaving,
-            lost: None,
+            unreachable_since: None,
         })
         .collect();
     let mut halls: BTreeMap<id::Hall, usize> = BTreeMap::new();
@@ -56,7 +56,7 @@
         let doubted = doubts.get(&(member.id.clone(), member.version));
         if let Some(doubted) = doubted.filter(|doubted| doubted.len() >= needed) {
             member.live = false;
-            member.lost = doubted.iter().max().copied();
+            member.unreachable_since = doubted.iter().max().copied();
         }
     }
     members
@@ -70,7 +70,7 @@
         else {
             continue;
         };
-        if now.since(held.since) >= DOUBT_WAIT {
+        if now.since(held.since) >= DOUBT_CONFIRM_TIME {
             doubts.entry((of.clone(), *version)).or_default().push(held.since);
         }
     }
@@ -78,26 +78,26 @@
 }
 
 /// The names of the live nodes of a hall.
-pub fn live_in<'a>(members: &'a [Member], hall: &id::Hall) -> Vec<&'a id::Node> {
+pub fn list_live<'a>(members: &'a [Member], hall: &id::Hall) -> Vec<&'a id::Node> {
     members.iter().filter(|m| m.live && m.node.hall == *hall).map(|m| &m.id).collect()
 }
 
 /// The nodes that watch a runner: the two highest scores among the hall's live nodes.
-pub fn watchers<'a>(runner: &id::Runner, live: &[&'a id::Node]) -> Vec<&'a id::Node> {
+pub fn pick_watchers<'a>(runner: &id::Runner, live: &[&'a id::Node]) -> Vec<&'a id::Node> {
     pick_owners(runner.as_str(), live.iter().copied(), WATCHERS)
 }
 
 /// The node that decides for a domain.
-pub fn decider<'a>(domain: &id::Domain, live: &[&'a id::Node]) -> Option<&'a id::Node> {
+pub fn pick_decider<'a>(domain: &id::Domain, live: &[&'a id::Node]) -> Option<&'a id::Node> {
     pick_owners(domain.as_str(), live.iter().copied(), 1).pop()
 }
 
 /// The nodes of a hall that watch the configuration in the store.
-pub fn config_watchers<'a>(live: &[&'a id::Node]) -> Vec<&'a id::Node> {
+pub fn pick_config_watchers<'a>(live: &[&'a id::Node]) -> Vec<&'a id::Node> {
     pick_owners("config", live.iter().copied(), 2)
 }
 
 /// The nodes of a hall that read the platform's list.
-pub fn list_readers<'a>(live: &[&'a id::Node]) -> Vec<&'a id::Node> {
+pub fn pick_list_readers<'a>(live: &[&'a id::Node]) -> Vec<&'a id::Node> {
     pick_owners("list", live.iter().copied(), 2)
 }
--- a/crates/kernel/src/outcome.rs
+++ b/crates/kernel/src/outcome.rs
@@ -14,7 +14,7 @@
 pub enum Stage {
     /// Nothing was written to any backend server.
     #[default]
-    Held,
+    Unsent,
     /// A connection is being made; nothing was written.
     Connecting,
     /// Some of the request may have been written.
@@ -22,7 +22,7 @@
     /// The server answers.
     Answering,
     /// The answer is whole.
-    Whole,
+    Complete,
 }
 
 /// What a caller is told of a request that failed.
@@ -48,19 +48,19 @@
 
 /// The fate of one request over all its tries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Fate {
+pub struct Progress {
     /// Whether the caller forbids a second run.
-    once: bool,
+    no_repeat: bool,
     stage: Stage,
     /// Whether some try may have run and did not answer.
-    ran: bool,
+    may_have_run: bool,
     /// Whether the caller has got a part of the answer.
     delivered: bool,
 }
 
 /// What may be done after a try failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Next {
+pub enum Recovery {
     /// Try again, from the start.
     Retry,
     /// Go on behind what the caller has, at another group or the same.
@@ -69,43 +69,43 @@
     Fail(Outcome),
 }
 
-impl Fate {
+impl Progress {
     /// A request that was just admitted; `once` if it must not be repeated.
-    pub fn new(once: bool) -> Fate {
-        Fate { once, stage: Stage::Held, ran: false, delivered: false }
+    pub fn new(no_repeat: bool) -> Progress {
+        Progress { no_repeat, stage: Stage::Unsent, may_have_run: false, delivered: false }
     }
 
     /// A try begins.
-    pub fn connect(&mut self) {
+    pub fn begin_attempt(&mut self) {
         self.stage = Stage::Connecting;
     }
 
     /// Bytes of the request may reach a backend server from now on.
-    pub fn send(&mut self) {
+    pub fn mark_sent(&mut self) {
         self.stage = Stage::Sent;
     }
 
     /// A part of the answer has come and been passed on.
-    pub fn deliver(&mut self) {
+    pub fn mark_delivered(&mut self) {
         self.stage = Stage::Answering;
         self.delivered = true;
     }
 
     /// The answer is whole.
-    pub fn finish(&mut self) {
-        self.stage = Stage::Whole;
+    pub fn mark_complete(&mut self) {
+        self.stage = Stage::Complete;
     }
 
     /// The backend server refused the request explicitly: this try did not run.
-    pub fn refuse(&mut self) {
-        self.stage = Stage::Held;
+    pub fn mark_rejected(&mut self) {
+        self.stage = Stage::Unsent;
     }
 
     /// What a caller may be told now.
     pub fn outcome(&self) -> Outcome {
         if self.delivered {
             Outcome::PartlyAnswered
-        } else if self.ran || self.stage >= Stage::Sent {
+        } else if self.may_have_run || self.stage >= Stage::Sent {
             Outcome::MayHaveRun
         } else {
             Outcome::NotRun
@@ -114,16 +114,16 @@
 
     /// What may be done now that the present try has failed. `resumable` says
     /// whether the backend server can go on from an offset.
-    pub fn fail(&mut self, resumable: bool) -> Next {
-        self.ran |= self.stage >= Stage::Sent;
-        self.stage = Stage::Held;
-        if self.once && self.ran {
-            return Next::Fail(self.outcome());
+    pub fn fail_attempt(&mut self, resumable: bool) -> Recovery {
+        self.may_have_run |= self.stage >= Stage::Sent;
+        self.stage = Stage::Unsent;
+        if self.no_repeat && self.may_have_run {
+            return Recovery::Fail(self.outcome());
         }
         match (self.delivered, resumable) {
-            (false, _) => Next::Retry,
-            (true, true) => Next::Resume,
-            (true, false) => Next::Fail(Outcome::PartlyAnswered),
+            (false, _) => Recovery::Retry,
+            (true, true) => Recovery::Resume,
+            (true, false) => Recovery::Fail(Outcome::PartlyAnswered),
         }
     }
 }
@@ -134,45 +134,45 @@
 
     #[test]
     fn a_request_that_may_not_be_repeated_is_retried_only_before_it_was_sent() {
-        let mut fate = Fate::new(true);
-        fate.connect();
-        assert_eq!(fate.fail(true), Next::Retry);
-        fate.connect();
-        fate.send();
-        assert_eq!(fate.fail(true), Next::Fail(Outcome::MayHaveRun));
-        assert_eq!(fate.fail(true), Next::Fail(Outcome::MayHaveRun), "it stays so");
+        let mut progress = Progress::new(true);
+        progress.begin_attempt();
+        assert_eq!(progress.fail_attempt(true), Recovery::Retry);
+        progress.begin_attempt();
+        progress.mark_sent();
+        assert_eq!(progress.fail_attempt(true), Recovery::Fail(Outcome::MayHaveRun));
+        assert_eq!(progress.fail_attempt(true), Recovery::Fail(Outcome::MayHaveRun), "it stays so");
     }
 
     #[test]
     fn an_explicit_refusal_proves_that_it_did_not_run() {
-        let mut fate = Fate::new(true);
-        fate.connect();
-        fate.send();
-        fate.refuse();
-        assert_eq!(fate.outcome(), Outcome::NotRun);
-        assert_eq!(fate.fail(false), Next::Retry);
+        let mut progress = Progress::new(true);
+        progress.begin_attempt();
+        progress.mark_sent();
+        progress.mark_rejected();
+        assert_eq!(progress.outcome(), Outcome::NotRun);
+        assert_eq!(progress.fail_attempt(false), Recovery::Retry);
     }
 
     #[test]
     fn a_refusal_does_not_unsay_an_earlier_try() {
-        let mut fate = Fate::new(false);
-        fate.send();
-        assert_eq!(fate.fail(false), Next::Retry);
-        fate.send();
-        fate.refuse();
-        assert_eq!(fate.outcome(), Outcome::MayHaveRun);
+        let mut progress = Progress::new(false);
+        progress.mark_sent();
+        assert_eq!(progress.fail_attempt(false), Recovery::Retry);
+        progress.mark_sent();
+        progress.mark_rejected();
+        assert_eq!(progress.outcome(), Outcome::MayHaveRun);
     }
 
     #[test]
     fn a_broken_stream_resumes_or_says_that_it_is_partial() {
-        let mut fate = Fate::new(false);
-        fate.send();
-        fate.deliver();
-        assert_eq!(fate.fail(true), Next::Resume);
-        assert_eq!(fate.fail(false), Next::Fail(Outcome::PartlyAnswered));
-        let mut once = Fate::new(true);
-        once.send();
-        once.deliver();
-        assert_eq!(once.fail(true), Next::Fail(Outcome::PartlyAnswered));
+        let mut progress = Progress::new(false);
+        progress.mark_sent();
+        progress.mark_delivered();
+        assert_eq!(progress.fail_attempt(true), Recovery::Resume);
+        assert_eq!(progress.fail_attempt(false), Recovery::Fail(Outcome::PartlyAnswered));
+        let mut no_repeat = Progress::new(true);
+        no_repeat.mark_sent();
+        no_repeat.mark_delivered();
+        assert_eq!(no_repeat.fail_attempt(true), Recovery::Fail(Outcome::PartlyAnswered));
     }
 }
--- a/crates/kernel/src/route.rs
+++ b/crates/kernel/src/route.rs
@@ -37,37 +37,42 @@
 
 /// A group that may be picked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Choice {
+pub struct Candidate {
     /// Tokens still to generate, as last reported.
     pub reported: u64,
     /// Tokens that this node has sent and not got back.
-    pub own: u64,
+    pub outstanding: u64,
     /// Whether it lies in this hall.
     pub near: bool,
 }
 
 /// A group in another hall has to be better by this many tokens.
-pub const FAR_TOKENS: u64 = 2000;
+pub const REMOTE_HALL_PENALTY: u64 = 2000;
 
-impl Choice {
+impl Candidate {
     fn cost(&self) -> u64 {
-        self.reported.max(self.own) + if self.near { 0 } else { FAR_TOKENS }
+        self.reported.max(self.outstanding) + if self.near { 0 } else { REMOTE_HALL_PENALTY }
     }
 }
 
-/// Picks one of `choices`; none only if there are none. `turn` counts the picks.
-pub fn pick(policy: Policy, choices: &[Choice], turn: u64, rng: &mut impl Rng) -> Option<usize> {
-    let any = |rng: &mut _| Rng::random_range(rng, 0..choices.len());
-    match (policy, choices.len()) {
+/// Picks one of `candidates`; none only if there are none. `pick_count` counts the picks.
+pub fn pick_candidate(
+    policy: Policy,
+    candidates: &[Candidate],
+    pick_count: u64,
+    rng: &mut impl Rng,
+) -> Option<usize> {
+    let any = |rng: &mut _| Rng::random_range(rng, 0..candidates.len());
+    match (policy, candidates.len()) {
         (_, 0) => None,
         (_, 1) => Some(0),
         (Policy::Random, _) => Some(any(rng)),
-        (Policy::RoundRobin, len) => Some((turn % len as u64) as usize),
-        (Policy::LeastLoaded, len) => (0..len).min_by_key(|at| choices[*at].cost()),
+        (Policy::RoundRobin, len) => Some((pick_count % len as u64) as usize),
+        (Policy::LeastLoaded, len) => (0..len).min_by_key(|at| candidates[*at].cost()),
         (Policy::TwoChoices, len) => {
             let first = any(rng);
             let second = (first + 1 + rng.random_range(0..len - 1)) % len;
-            [first, second].into_iter().min_by_key(|at| choices[*at].cost())
+            [first, second].into_iter().min_by_key(|at| candidates[*at].cost())
         }
     }
 }
@@ -78,15 +83,16 @@
     use rand::SeedableRng;
     use rand::rngs::SmallRng;
 
-    fn choice(reported: u64, near: bool) -> Choice {
-        Choice { reported, own: 0, near }
+    fn candidate(reported: u64, near: bool) -> Candidate {
+        Candidate { reported, outstanding: 0, near }
     }
 
     #[test]
     fn two_choices_never_picks_the_worst_of_three() {
-        let choices = [choice(10, true), choice(20, true), choice(90, true)];
+        let candidates = [candidate(10, true), candidate(20, true), candidate(90, true)];
         let mut rng = SmallRng::seed_from_u64(1);
-        let picks: Vec<_> = (0..100).map(|n| pick(Policy::TwoChoices, &choices, n, &mut rng)).collect();
+        let picks: Vec<_> =
+            (0..100).map(|n| pick_candidate(Policy::TwoChoices, &candidates, n, &mut rng)).collect();
         assert!(!picks.contains(&Some(2)));
         assert!(picks.contains(&Some(1)), "it does not always pick the best either");
     }
@@ -94,8 +100,18 @@
     #[test]
     fn near_groups_go_first_until_they_are_much_busier() {
         let mut rng = SmallRng::seed_from_u64(1);
-        let near = pick(Policy::LeastLoaded, &[choice(0, false), choice(FAR_TOKENS - 1, true)], 0, &mut rng);
-        let far = pick(Policy::LeastLoaded, &[choice(0, false), choice(FAR_TOKENS + 1, true)], 0, &mut rng);
+        let near = pick_candidate(
+            Policy::LeastLoaded,
+            &[candidate(0, false), candidate(REMOTE_HALL_PENALTY - 1, true)],
+            0,
+            &mut rng,
+        );
+        let far = pick_candidate(
+            Policy::LeastLoaded,
+            &[candidate(0, false), candidate(REMOTE_HALL_PENALTY + 1, true)],
+            0,
+            &mut rng,
+        );
         assert_eq!((near, far), (Some(1), Some(0)));
     }
 }
--- a/crates/kernel/src/row.rs
+++ b/crates/kernel/src/row.rs
@@ -46,7 +46,7 @@
     /// Whether other halls have a use for the row. What watchers and the list
     /// say of single runners stays in the runners' hall; the others are told of
     /// whole groups.
-    pub fn is_wide(&self) -> bool {
+    pub fn is_fleet_wide(&self) -> bool {
         !matches!(self, Key::Seen { .. } | Key::Listed(_))
     }
 }
@@ -64,20 +64,20 @@
         held: bool,
     },
     /// A runner as one watcher sees it.
-    Seen(Seen),
+    Seen(Observation),
     /// A group as assigned.
     Group(Option<Group>),
     /// The load of a group.
     Load(Load),
     /// Whether a group may take work.
-    Whole(Whole),
+    Whole(Readiness),
     /// What the list says.
-    Listed(Listed),
+    Listed(Listing),
 }
 
 /// Whether a group may take work, for the other halls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Whole {
+pub struct Readiness {
     /// The generation it holds for.
     pub generation: id::Generation,
     /// Whether it may.
@@ -103,7 +103,7 @@
 
 /// A runner as one watcher sees it. It leaves out what changes with every request.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Seen {
+pub struct Observation {
     /// Whether the runner answers this watcher.
     pub answers: bool,
     /// The life of the runner.
@@ -140,7 +140,7 @@
 
 /// What the platform's list says of a runner.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Listed {
+pub struct Listing {
     /// The list counts it as live.
     pub live: bool,
     /// The list shows it as leaving.
@@ -174,7 +174,7 @@
 impl Urgency {
     /// How often a node passes a row of this urgency on. The checksums find
     /// whoever was missed; what is urgent should not have to wait for them.
-    pub fn sends(self) -> u8 {
+    pub fn max_sends(self) -> u8 {
         match self {
             Urgency::Stop | Urgency::Start => 4,
             Urgency::Member | Urgency::Load => 2,
--- a/crates/kernel/src/table.rs
+++ b/crates/kernel/src/table.rs
@@ -22,18 +22,18 @@
     /// All rows: the receiver is in the same hall.
     Hall,
     /// Only rows that other halls have a use for.
-    Wide,
+    Fleet,
 }
 
 impl Scope {
-    fn takes(self, key: &Key) -> bool {
-        self == Scope::Hall || key.is_wide()
+    fn includes(self, key: &Key) -> bool {
+        self == Scope::Hall || key.is_fleet_wide()
     }
 }
 
 /// A row with what this node did with it.
 #[derive(Clone, Debug)]
-pub struct Held {
+pub struct StoredRow {
     /// The row.
     pub row: Row,
     /// When this version came to this node.
@@ -42,7 +42,7 @@
     mark: u64,
 }
 
-impl Held {
+impl StoredRow {
     /// The short form of the row's mark that goes into messages.
     fn short_mark(&self) -> u32 {
         self.mark as u32
@@ -52,7 +52,7 @@
 /// All rows of a node.
 #[derive(Debug)]
 pub struct Table {
-    rows: BTreeMap<Key, Held>,
+    rows: BTreeMap<Key, StoredRow>,
     pending: BTreeMap<(Urgency, u8, Key), ()>,
     sums: Sums,
 }
@@ -63,44 +63,44 @@
     }
 }
 
-fn encoded<T: serde::Serialize>(value: &T) -> Vec<u8> {
+fn encode<T: serde::Serialize>(value: &T) -> Vec<u8> {
     // Encoding plain data into memory has no way to fail.
     rmp_serde::to_vec(value).unwrap_or_default()
 }
 
 /// How many bytes a row takes in a message.
-pub fn size(row: &Row) -> usize {
-    encoded(row).len()
+pub fn encoded_size(row: &Row) -> usize {
+    encode(row).len()
 }
 
-fn bucket(key: &Key) -> usize {
-    let at = hash(&encoded(key)) as usize % BUCKETS;
-    if key.is_wide() { at } else { BUCKETS + at }
+fn pick_bucket(key: &Key) -> usize {
+    let at = hash(&encode(key)) as usize % BUCKETS;
+    if key.is_fleet_wide() { at } else { BUCKETS + at }
 }
 
-fn mark(row: &Row) -> u64 {
-    hash(&encoded(row))
+fn hash_row(row: &Row) -> u64 {
+    hash(&encode(row))
 }
 
 /// Load comes and goes too fast to be worth a repair.
-fn is_summed(row: &Row) -> bool {
+fn is_checksummed(row: &Row) -> bool {
     !matches!(row.body, Body::Load(_))
 }
 
 impl Table {
     /// The row under `key`.
-    pub fn get(&self, key: &Key) -> Option<&Held> {
+    pub fn get(&self, key: &Key) -> Option<&StoredRow> {
         self.rows.get(key)
     }
 
     /// Every row, in the order of the keys.
-    pub fn iter(&self) -> impl Iterator<Item = &Held> {
+    pub fn iter(&self) -> impl Iterator<Item = &StoredRow> {
         self.rows.values()
     }
 
     /// The rows from `from` on, in the order of the keys.
-    pub fn from(&self, from: &Key) -> impl Iterator<Item = &Held> {
-        self.rows.range(from.clone()..).map(|(_, held)| held)
+    pub fn iter_from(&self, start: &Key) -> impl Iterator<Item = &StoredRow> {
+        self.rows.range(start.clone()..).map(|(_, held)| held)
     }
 
     /// How many rows there are.
@@ -119,21 +119,21 @@
         if old.is_some_and(|old| (old.row.version, &old.row.body) >= (row.version, &row.body)) {
             return false;
         }
-        let (bucket, mark) = (bucket(&row.key), mark(&row));
+        let (bucket, mark) = (pick_bucket(&row.key), hash_row(&row));
         if let Some(old) = old {
-            if is_summed(&old.row) {
+            if is_checksummed(&old.row) {
                 self.sums[bucket] ^= old.mark;
             }
             let urgency = old.row.urgency();
-            for sends in 0..urgency.sends() {
+            for sends in 0..urgency.max_sends() {
                 self.pending.remove(&(urgency, sends, row.key.clone()));
             }
         }
-        if is_summed(&row) {
+        if is_checksummed(&row) {
             self.sums[bucket] ^= mark;
         }
         self.pending.insert((row.urgency(), 0, row.key.clone()), ());
-        self.rows.insert(row.key.clone(), Held { row, since: now, bucket, mark });
+        self.rows.insert(row.key.clone(), StoredRow { row, since: now, bucket, mark });
         true
     }
 
@@ -152,29 +152,29 @@
     }
 
     /// Whether rows wait to be passed on.
-    pub fn has_news(&self) -> bool {
+    pub fn has_pending(&self) -> bool {
         !self.pending.is_empty()
     }
 
     /// The rows to put into the next message: most urgent first, the least
     /// often sent first among those, at most `budget` bytes together.
-    pub fn take_news(&mut self, scope: Scope, budget: usize) -> Vec<Row> {
-        let mut left = budget;
+    pub fn collect_pending(&mut self, scope: Scope, budget: usize) -> Vec<Row> {
+        let mut remaining = budget;
         let mut rows = Vec::new();
         let mut sent = Vec::new();
-        for (urgency, sends, key) in self.pending.keys().filter(|(.., key)| scope.takes(key)) {
+        for (urgency, sends, key) in self.pending.keys().filter(|(.., key)| scope.includes(key)) {
             let row = &self.rows[key].row;
-            let size = size(row);
-            if size > left {
+            let size = encoded_size(row);
+            if size > remaining {
                 break;
             }
-            left -= size;
+            remaining -= size;
             rows.push(row.clone());
             sent.push((*urgency, *sends, key.clone()));
         }
         for (urgency, sends, key) in sent {
             self.pending.remove(&(urgency, sends, key.clone()));
-            if sends + 1 < urgency.sends() {
+            if sends + 1 < urgency.max_sends() {
                 self.pending.insert((urgency, sends + 1, key), ());
             }
         }
@@ -185,7 +185,7 @@
     pub fn sums(&self, scope: Scope) -> &[u64] {
         match scope {
             Scope::Hall => &self.sums,
-            Scope::Wide => &self.sums[..BUCKETS],
+            Scope::Fleet => &self.sums[..BUCKETS],
         }
     }
 
@@ -196,36 +196,37 @@
 
     /// The rows in the buckets whose checksum differs from `theirs`. Buckets that
     /// `theirs` leaves out are left out.
-    fn differing<'a>(&'a self, theirs: &'a [u64]) -> impl Iterator<Item = &'a Held> {
+    fn list_differing<'a>(&'a self, theirs: &'a [u64]) -> impl Iterator<Item = &'a StoredRow> {
         let differs =
-            |held: &&Held| theirs.get(held.bucket).is_some_and(|sum| *sum != self.sums[held.bucket]);
-        self.rows.values().filter(|held| is_summed(&held.row)).filter(differs)
+            |held: &&StoredRow| theirs.get(held.bucket).is_some_and(|sum| *sum != self.sums[held.bucket]);
+        self.rows.values().filter(|held| is_checksummed(&held.row)).filter(differs)
     }
 
     /// The marks of the rows where the checksums differ from `theirs`.
-    pub fn marks(&self, theirs: &[u64]) -> Vec<u32> {
-        self.differing(theirs).map(Held::short_mark).collect()
+    pub fn list_marks(&self, theirs: &[u64]) -> Vec<u32> {
+        self.list_differing(theirs).map(StoredRow::short_mark).collect()
     }
 
     /// The marks of all rows in scope.
-    pub fn all_marks(&self, scope: Scope) -> Vec<u32> {
-        let rows = self.rows.values().filter(|held| is_summed(&held.row) && scope.takes(&held.row.key));
-        rows.map(Held::short_mark).collect()
+    pub fn list_all_marks(&self, scope: Scope) -> Vec<u32> {
+        let rows =
+            self.rows.values().filter(|held| is_checksummed(&held.row) && scope.includes(&held.row.key));
+        rows.map(StoredRow::short_mark).collect()
     }
 
     /// The rows where the checksums differ from `theirs` and whose mark is not
     /// among `marks`: what the other table lacks. The most urgent go first, at
-    /// most `budget` bytes together; `turn` varies which go among equals.
-    pub fn lacking(&self, theirs: &[u64], marks: &[u32], budget: usize, turn: u64) -> Vec<Row> {
+    /// most `budget` bytes together; `seed` varies which go among equals.
+    pub fn list_missing(&self, theirs: &[u64], marks: &[u32], budget: usize, seed: u64) -> Vec<Row> {
         let marks: HashSet<u32> = marks.iter().copied().collect();
-        let mut rows: Vec<&Held> =
-            self.differing(theirs).filter(|held| !marks.contains(&held.short_mark())).collect();
-        rows.sort_by_key(|held| (held.row.urgency(), held.mark ^ turn));
-        let mut left = budget;
-        let fits = |held: &&Held| {
-            let size = size(&held.row);
-            let fits = size <= left;
-            left -= if fits { size } else { 0 };
+        let mut rows: Vec<&StoredRow> =
+            self.list_differing(theirs).filter(|held| !marks.contains(&held.short_mark())).collect();
+        rows.sort_by_key(|held| (held.row.urgency(), held.mark ^ seed));
+        let mut remaining = budget;
+        let fits = |held: &&StoredRow| {
+            let size = encoded_size(&held.row);
+            let fits = size <= remaining;
+            remaining -= if fits { size } else { 0 };
             fits
         };
         rows.into_iter().take_while(fits).map(|held| held.row.clone()).collect()
--- a/crates/kernel/src/view.rs
+++ b/crates/kernel/src/view.rs
@@ -9,13 +9,13 @@
 use crate::domain::{self, Phase};
 use crate::evidence::gather_runner;
 use crate::id;
-use crate::member::{Member, live_in};
+use crate::member::{Member, list_live};
 use crate::row::{Body, Key, Load};
 use crate::table::Table;
 
 /// An entry that has heard nothing of its controller for this long takes no
 /// new work for model groups: a member may be missing and a runner leaving.
-pub const STALE: Millis = Millis(2500);
+pub const VIEW_TTL: Millis = Millis(2500);
 
 /// All that an entry needs to route.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -151,10 +151,10 @@
     let Body::Group(Some(row)) = &table.get(&Key::Group(id.clone()))?.row.body else { return None };
     let group = &row.group;
     let home = config.hall_of(&row.domain)?;
-    let live = live_in(members, home);
+    let live = list_live(members, home);
     let condition = match home == hall {
-        true => judge_group(table, &live, &id, group, now),
-        false => recall_condition(table, &live, &id, group.generation),
+        true => assess_group(table, &live, &id, group, now),
+        false => read_reported_condition(table, &live, &id, group.generation),
     };
     let first = group.members.first()?;
     let Entry::Runner { address, .. } = config.get(&config::Key::new(Kind::Runner, &first.runner))? else {
@@ -177,7 +177,7 @@
 }
 
 /// Whether a group of this hall may take work, by what its watchers say.
-pub fn judge_group(
+pub fn assess_group(
     table: &Table,
     live: &[&id::Node],
     id: &id::Group,
@@ -199,7 +199,7 @@
 
 /// Whether a group of another hall may take work, as that hall said last. With
 /// none of its nodes in reach nobody vouches for it.
-fn recall_condition(
+fn read_reported_condition(
     table: &Table,
     live: &[&id::Node],
     id: &id::Group,
--- a/crates/kernel/src/wire.rs
+++ b/crates/kernel/src/wire.rs
@@ -33,7 +33,7 @@
 /// An exchange as it goes over the wire: encoded, and compressed, for names
 /// come again and again in it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Packed(#[serde(with = "serde_bytes")] Vec<u8>);
+pub struct PackedExchange(#[serde(with = "serde_bytes")] Vec<u8>);
 
 /// A packed message that cannot be read.
 #[derive(Debug, Error, PartialEq, Eq)]
@@ -50,20 +50,20 @@
 }
 
 /// The largest exchange, unpacked, in bytes.
-pub const EXCHANGE_MAX: usize = 4 << 20;
+pub const MAX_EXCHANGE_BYTES: usize = 4 << 20;
 
-impl Packed {
+impl PackedExchange {
     /// Packs an exchange.
-    pub fn pack(exchange: &Exchange) -> Packed {
+    pub fn pack(exchange: &Exchange) -> PackedExchange {
         // Encoding plain data into memory has no way to fail.
-        Packed(lz4_flex::compress_prepend_size(&rmp_serde::to_vec(exchange).unwrap_or_default()))
+        PackedExchange(lz4_flex::compress_prepend_size(&rmp_serde::to_vec(exchange).unwrap_or_default()))
     }
 
     /// Unpacks it.
     pub fn unpack(&self) -> Result<Exchange, PackError> {
         let (size, rest) = lz4_flex::block::uncompressed_size(&self.0)
             .map_err(|error| PackError::Compression(error.to_string()))?;
-        if size > EXCHANGE_MAX {
+        if size > MAX_EXCHANGE_BYTES {
             return Err(PackError::TooLarge(size));
         }
         let bytes = lz4_flex::decompress(rest, size).map_err(|e| PackError::Compression(e.to_string()))?;
@@ -149,7 +149,7 @@
 }
 
 /// The largest value the store takes, in bytes.
-pub const VALUE_MAX: usize = 1 << 20;
+pub const MAX_VALUE_BYTES: usize = 1 << 20;
 
 /// A line of the platform's list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -192,13 +192,13 @@
         /// The request that ran.
         request: id::Request,
         /// Its outcome.
-        outcome: Recorded,
+        outcome: KeyedOutcome,
     },
 }
 
 /// The outcome of a keyed request as its owners keep it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Recorded {
+pub enum KeyedOutcome {
     /// It was not run; the key is free again.
     NotRun,
     /// It ran and was answered like this.
@@ -216,13 +216,13 @@
 
 /// The answer to a claim.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Claimed {
+pub enum ClaimReply {
     /// The key was free and is now this request's.
     First,
     /// Another request with this key is in flight.
     Running,
     /// Another request with this key has ended.
-    Done(Recorded),
+    Done(KeyedOutcome),
     /// Taken note of.
     Noted,
 }
@@ -301,10 +301,13 @@
             sums: Some(vec![1; 32]),
             marks: None,
         };
-        let packed = Packed::pack(&exchange);
+        let packed = PackedExchange::pack(&exchange);
         assert_eq!(packed.unpack(), Ok(exchange));
-        assert_matches!(Packed(vec![1]).unpack(), Err(PackError::Compression(_)));
-        assert_matches!(Packed(vec![255, 255, 255, 255, 0]).unpack(), Err(PackError::TooLarge(_)));
-        assert_matches!(Packed(lz4_flex::compress_prepend_size(b"x")).unpack(), Err(PackError::Encoding(_)));
+        assert_matches!(PackedExchange(vec![1]).unpack(), Err(PackError::Compression(_)));
+        assert_matches!(PackedExchange(vec![255, 255, 255, 255, 0]).unpack(), Err(PackError::TooLarge(_)));
+        assert_matches!(
+            PackedExchange(lz4_flex::compress_prepend_size(b"x")).unpack(),
+            Err(PackError::Encoding(_))
+        );
     }
 }
--- a/crates/kernel/tests/merge.rs
+++ b/crates/kernel/tests/merge.rs
@@ -5,9 +5,9 @@
 use cottoncrank::Millis;
 use cottoncrank::config::{Document, Entry, Key as Name, Kind};
 use cottoncrank::id::{self, Generation, Incarnation, Proposal, Revision};
-use cottoncrank::member::{WATCHERS, watchers};
-use cottoncrank::row::{Body, Key, Load, Row, Seen};
-use cottoncrank::table::{Scope, Table, size};
+use cottoncrank::member::{WATCHERS, pick_watchers};
+use cottoncrank::row::{Body, Key, Load, Observation, Row};
+use cottoncrank::table::{Scope, Table, encoded_size};
 use cottoncrank::{engine, row};
 use proptest::prelude::*;
 
@@ -20,7 +20,7 @@
     let seen = (0..4u8, 0..3u8, 1..5u64, any::<bool>(), 0..3u64).prop_map(
         |(runner, by, version, answers, fence)| {
             let key = Key::Seen { runner: format!("r{runner}").parse().unwrap(), by: node(by) };
-            let seen = Seen {
+            let seen = Observation {
                 answers,
                 incarnation: Incarnation(1),
                 fence: Generation(fence),
@@ -44,7 +44,7 @@
     let listed = (0..4u8, 1..5u64, any::<bool>()).prop_map(|(runner, version, leaving)| Row {
         key: Key::Listed(format!("r{runner}").parse().unwrap()),
         version,
-        body: Body::Listed(row::Listed { live: true, leaving }),
+        body: Body::Listed(row::Listing { live: true, leaving }),
     });
     prop_oneof![seen, doubt, load, listed]
 }
@@ -95,8 +95,8 @@
         two in prop::collection::vec(any_row(), 0..40),
     ) {
         let (mut one, mut two) = (fill(&one), fill(&two));
-        let to_two = one.lacking(two.sums(Scope::Hall), &two.marks(one.sums(Scope::Hall)), usize::MAX, 7);
-        let to_one = two.lacking(one.sums(Scope::Hall), &one.marks(two.sums(Scope::Hall)), usize::MAX, 9);
+        let to_two = one.list_missing(two.sums(Scope::Hall), &two.list_marks(one.sums(Scope::Hall)), usize::MAX, 7);
+        let to_one = two.list_missing(one.sums(Scope::Hall), &one.list_marks(two.sums(Scope::Hall)), usize::MAX, 9);
         prop_assert!(to_two.iter().all(|row| two.get(&row.key).map(|held| &held.row) != Some(row)));
         to_two.into_iter().for_each(|row| { two.merge(row, Millis(0)); });
         to_one.into_iter().for_each(|row| { one.merge(row, Millis(0)); });
@@ -112,17 +112,17 @@
         budget in 0usize..600,
     ) {
         let mut table = fill(&rows);
-        let news = table.take_news(Scope::Hall, budget);
-        prop_assert!(news.iter().map(size).sum::<usize>() <= budget);
-        let differing = table.lacking(&[1; 32], &[], budget, 3);
-        prop_assert!(differing.iter().map(size).sum::<usize>() <= budget);
+        let news = table.collect_pending(Scope::Hall, budget);
+        prop_assert!(news.iter().map(encoded_size).sum::<usize>() <= budget);
+        let differing = table.list_missing(&[1; 32], &[], budget, 3);
+        prop_assert!(differing.iter().map(encoded_size).sum::<usize>() <= budget);
     }
 
     #[test]
     fn other_halls_hear_nothing_of_single_runners(rows in prop::collection::vec(any_row(), 0..60)) {
         let mut table = fill(&rows);
-        let wide = table.take_news(Scope::Wide, usize::MAX);
-        let all_wide = wide.iter().all(|row| row.key.is_wide());
+        let wide = table.collect_pending(Scope::Fleet, usize::MAX);
+        let all_wide = wide.iter().all(|row| row.key.is_fleet_wide());
         prop_assert!(all_wide);
         let single = wide.iter().any(|row| matches!(row.key, Key::Seen { .. } | Key::Listed(_)));
         prop_assert!(!single);
@@ -162,9 +162,9 @@
         let gone = &all[lost % nodes];
         let rest: Vec<&id::Node> = all.iter().filter(|node| *node != gone).collect();
         for runner in (0..runners).map(|n| format!("runner-{n}").parse::<id::Runner>().unwrap()) {
-            let before = watchers(&runner, &live);
+            let before = pick_watchers(&runner, &live);
             prop_assert_eq!(before.len(), WATCHERS.min(nodes));
-            let after = watchers(&runner, &rest);
+            let after = pick_watchers(&runner, &rest);
             let kept = before.iter().filter(|node| **node != gone).all(|node| after.contains(node));
             prop_assert!(kept, "a watcher that is still there lost {}", runner);
         }
--- a/crates/kernel/tests/world/mod.rs
+++ b/crates/kernel/tests/world/mod.rs
@@ -13,7 +13,7 @@
 use cottoncrank::engine::{Order, Role, Stage};
 use cottoncrank::evidence::{Evidence, Runner as Known};
 use cottoncrank::id;
-use cottoncrank::row::{Load, Seen};
+use cottoncrank::row::{Load, Observation};
 
 /// A runner as it really is.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -130,7 +130,7 @@
             let reached = runner.alive && !self.deciders[decider].cut_from_runners;
             if reached {
                 known.reached = watchers.to_vec();
-                known.seen = Some(Seen {
+                known.seen = Some(Observation {
                     answers: true,
                     incarnation: id::Incarnation(runner.incarnation),
                     fence: id::Generation(runner.fence),
@@ -141,7 +141,7 @@
             } else {
                 known.missed = watchers.to_vec();
             }
-            known.listed = Some(cottoncrank::row::Listed { live: runner.alive, leaving: runner.leaving });
+            known.listed = Some(cottoncrank::row::Listing { live: runner.alive, leaving: runner.leaving });
             if let Some(role) = role.filter(|role| role.rank == 0 && reached) {
                 let load = Load { generation: role.generation, running: runner.running, backlog: 0 };
                 evidence.loads.insert(role.group, (load, self.now));
--- a/crates/standin/src/store.rs
+++ b/crates/standin/src/store.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 
 use cottoncrank::clock::System;
-use cottoncrank::wire::{Answer, Call, VALUE_MAX, Value};
+use cottoncrank::wire::{Answer, Call, MAX_VALUE_BYTES, Value};
 use cottoncrank::{Clock, Millis};
 use cottoncrank_net::server::{
     self, Cut, Head, Incoming, Server, Service, Status, read_body, read_message, reply, reply_bad,
@@ -174,7 +174,7 @@
 
     fn swap(&mut self, key: String, expect: u64, bytes: Vec<u8>, lease: Option<u64>) -> Answer {
         self.calls.swaps += 1;
-        if bytes.len() > VALUE_MAX {
+        if bytes.len() > MAX_VALUE_BYTES {
             return Answer::TooLarge;
         }
         let present = self.values.get(&key);
@@ -273,7 +273,7 @@
     }
 
     async fn answer_call(&self, body: Incoming) -> server::Answer {
-        let call: Call = match read_message(body, 2 * VALUE_MAX).await {
+        let call: Call = match read_message(body, 2 * MAX_VALUE_BYTES).await {
             Ok(call) => call,
             Err(error) => return reply_bad(&error),
         };
