--- a/crates/kernel/src/decide.rs
+++ b/crates/kernel/src/decide.rs
@@ -1,10 +1,11 @@
-//! What to do next in one fabric domain: pure decisions.
+//! Plans the groups of one fabric domain as pure functions.
 //!
-//! [`step`] looks at the configuration, the domain's document and the evidence
-//! and returns the next document, one change at a time, or why it holds.
-//! [`list_orders`] says what the runners have to be told so that they match the
-//! document. Two nodes may both decide: the store's compare-and-swap lets one
-//! document win, and the generations in it fence what the other one ordered.
+//! [`decide_change`] takes the configuration, the domain's document and the
+//! evidence, and returns the next document (one change at a time) or the reasons
+//! for making no change. [`list_orders`] returns the orders that bring the runners
+//! in line with the document. Two nodes may decide at the same time: the store's
+//! compare-and-swap accepts only one document, and the generations in it fence the
+//! orders of the other node.
 
 use std::net::SocketAddr;
 
@@ -15,51 +16,51 @@
 use crate::evidence::{Evidence, Runner};
 use crate::id;
 
-/// How long after the drain of a group its requests in flight are trusted to
-/// be all there are: every entry refuses to work on a input older than
-/// [`crate::view::VIEW_TTL`], which is shorter.
+/// How long to wait after the drain of a group before its count of in-flight
+/// requests is taken as complete. It is longer than [`crate::view::VIEW_TTL`], after
+/// which an entry sends no requests by an old view, so no entry still adds any.
 pub const DRAIN_WAIT: Millis = Millis(4000);
 
-/// Everything a decision rests on.
+/// The input of a decision.
 #[derive(Clone, Copy, Debug)]
 pub struct Input<'a> {
     /// The configuration in force.
     pub config: &'a config::Document,
     /// The domain.
     pub domain: &'a id::Domain,
-    /// Its document as last read.
+    /// The domain's document as last read.
     pub document: &'a Document,
-    /// What is known of its runners.
+    /// The evidence about the domain's runners and groups.
     pub evidence: &'a Evidence,
-    /// Live nodes of the hall, and nodes it ought to have.
+    /// The number of live nodes of the hall, and the number it should have.
     pub nodes: (usize, usize),
-    /// The node that decides.
+    /// The node that makes the decision.
     pub decider: &'a id::Node,
     /// The present time.
     pub now: Millis,
-    /// The mark of the write that may follow.
+    /// The proposal id for the write that may follow.
     pub proposal: id::Proposal,
 }
 
-/// The outcome of a step.
+/// The outcome of [`decide_change`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Decision {
     /// Write this document.
     Change(Box<Document>),
-    /// Leave it; the groups that are not as configured, and why.
+    /// Make no change; lists the groups that are not as configured.
     Hold(Vec<Hold>),
 }
 
-/// Why a group stays as it is although it is not as configured.
+/// A group that is left as it is although it is not as configured.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Hold {
     /// The group.
     pub group: id::Group,
-    /// The ways there would be and why none is taken.
+    /// The possible actions, each with the reason why it is not taken.
     pub passed: Vec<Passed>,
 }
 
-/// A runner as the configuration gives it.
+/// A runner as configured, with the evidence about it.
 struct ConfiguredRunner<'a> {
     address: SocketAddr,
     fence: Fence,
@@ -83,7 +84,8 @@
     }
 }
 
-/// More than half of the hall's nodes are gone: rather we are cut off than they.
+/// Whether more than half of the hall's nodes are missing. Then it is more likely that
+/// this node is cut off than that they have all failed, so it must not act.
 fn is_partitioned(input: &Input) -> bool {
     let (live, known) = input.nodes;
     live * 2 < known
@@ -103,7 +105,7 @@
     }
 }
 
-/// Runners that may take a place now, warm ones for `model` first.
+/// Lists the runners that can join a group now, those with warm weights for `model` first.
 fn list_spares(input: &Input, model: &id::Model) -> Vec<Place> {
     let mut spares: Vec<(bool, Place)> = Vec::new();
     for (name, _) in input.config.of(Kind::Runner) {
@@ -120,7 +122,7 @@
     spares.into_iter().map(|(_, place)| place).collect()
 }
 
-/// The place that the runner could take in its present life.
+/// Returns a place for the runner in its current incarnation, if it is usable.
 fn find_usable_place(input: &Input, runner: &id::Runner) -> Option<Place> {
     let configured = find_configured_runner(input, runner)?;
     let known = configured.known?;
@@ -159,7 +161,8 @@
     }
 }
 
-/// Puts runners that check no fence aside until their old role is seen ended.
+/// Quarantines those of `runners` that do not check fences. They could still hold
+/// their old role, so they stay in quarantine until they report no role.
 fn quarantine_unfenced(
     input: &Input,
     document: &mut Document,
@@ -175,7 +178,7 @@
     }
 }
 
-/// Lets a runner out of quarantine once it answers and holds no role.
+/// Ends the quarantine of a runner that answers and holds no role, or is no longer configured.
 fn unquarantine(input: &Input) -> Option<Document> {
     let free = input.document.quarantine.keys().find(|runner| {
         let known = input.evidence.get_runner(runner);
@@ -187,7 +190,7 @@
     Some(document)
 }
 
-/// Drains a group that is no longer configured as it is.
+/// Drains a group whose model or size differs from the configuration, or that is not configured.
 fn drain_unconfigured(input: &Input) -> Option<Document> {
     let (name, _) = input.document.groups.iter().find(|(name, group)| {
         let kept = find_configured_group(input, name)
@@ -219,7 +222,7 @@
     document
 }
 
-/// Takes a drained group apart once nothing is in flight.
+/// Dissolves a draining group once nothing is in flight.
 fn finish_drain(input: &Input) -> Option<Document> {
     let (name, _) = input
         .document
@@ -229,7 +232,8 @@
     Some(dissolve(input, name, Cause::Drained, Vec::new()))
 }
 
-/// Nothing is in flight in a draining group, or nothing can be any more.
+/// Whether a draining group has no request in flight, or has lost a member and with it
+/// all its requests.
 fn is_drained(input: &Input, name: &id::Group, group: &Group) -> bool {
     let lost = group.members.iter().any(|place| is_lost(&input.evidence.get_runner(&place.runner), place));
     let drains = input.document.events.iter().rev();
@@ -261,7 +265,7 @@
     known.is_missing() || known.has_restarted(place)
 }
 
-/// Mends the first group that lost a member.
+/// Repairs the first group that lost a member.
 fn repair(input: &Input) -> Option<Document> {
     let groups = input.document.groups.iter().filter(|(_, group)| group.phase == Phase::Serve);
     groups.filter_map(|(name, group)| repair_group(input, name, group)).next()
@@ -283,8 +287,8 @@
     }
 }
 
-/// Puts a spare into the place of a missing member. Every member takes the new
-/// generation, for a replica does not outlive the loss of one.
+/// Replaces a missing member by a spare. Every member gets the new generation, because
+/// a replica does not survive the loss of one member.
 fn replace(
     input: &Input,
     name: &id::Group,
@@ -322,7 +326,7 @@
     document
 }
 
-/// Gives every place to the present life of its runner.
+/// Sets every place to the newest known incarnation of its runner.
 fn update_incarnations(input: &Input, members: &mut [Place]) {
     for place in members {
         if let Some(seen) = input.evidence.get_runner(&place.runner).seen {
@@ -331,7 +335,7 @@
     }
 }
 
-/// Lets the same members load again under a new generation.
+/// Lets the same members load the model again under a new generation.
 fn reload(input: &Input, name: &id::Group, group: &Group) -> Document {
     let mut document = input.document.clone();
     document.generation = document.generation.next();
@@ -353,8 +357,8 @@
     document
 }
 
-/// Without a spare, a broken group is taken apart only if that makes another
-/// broken one whole; else its members stay and wait.
+/// Dissolves a broken group for which there is no spare, but only if its members can
+/// complete another broken group. Otherwise the members stay and wait.
 fn dissolve_to_repair_another(input: &Input, name: &id::Group, cause: Cause) -> Option<Document> {
     let count_missing = |group: &Group| {
         group.members.iter().filter(|place| input.evidence.get_runner(&place.runner).is_missing()).count()
@@ -363,7 +367,7 @@
     let others = input.document.groups.iter().filter(|(other, _)| *other != name);
     let repaired = others.filter(|(_, group)| group.phase == Phase::Serve).find(|(other, group)| {
         let other_missing = count_missing(group);
-        // The group that lost less stays; of two equals the one first by name.
+        // The group that lost fewer members stays; between equals, the first by name.
         other_missing > 0 && (other_missing, *other) < (missing, name) && group.members.len() > other_missing
     });
     let (repaired, _) = repaired?;
@@ -374,7 +378,7 @@
     Some(dissolve(input, name, cause, passed))
 }
 
-/// Forms the first configured group that is not there, if there are runners for it.
+/// Forms the first configured group that does not exist and for which there are enough runners.
 fn form(input: &Input) -> Option<Document> {
     input.config.of(Kind::Group).find_map(|(name, _)| {
         let name: id::Group = name.parse().ok()?;
@@ -399,7 +403,7 @@
     })
 }
 
-/// The groups that are not whole, with the ways and why they are not taken.
+/// Lists the configured groups that are not complete, with the reasons.
 fn explain_holds(input: &Input) -> Vec<Hold> {
     let names = input.config.of(Kind::Group).filter_map(|(name, _)| name.parse::<id::Group>().ok());
     names.filter_map(|name| explain_hold(input, &name)).collect()
@@ -438,9 +442,9 @@
     None
 }
 
-/// What the runners have to be told so that they match the document.
+/// Lists the orders that bring the runners in line with the document.
 ///
-/// Only runners that answer and that the configuration gives are told anything.
+/// Only configured runners that answer get an order.
 pub fn list_orders(input: &Input) -> Vec<(id::Runner, SocketAddr, Order)> {
     let mut orders = Vec::new();
     for (name, group) in &input.document.groups {
@@ -473,13 +477,13 @@
     known.missed.is_empty() && seen.incarnation == place.incarnation && seen.role.as_ref() != Some(role)
 }
 
-/// Runners that hold a role they no longer have.
+/// Lists release orders for runners that hold a role but belong to no group.
 fn list_releases(input: &Input) -> Vec<(id::Runner, SocketAddr, Order)> {
     let free = input.evidence.runners.iter().filter(|(runner, _)| input.document.group_of(runner).is_none());
     free.filter_map(|(runner, known)| {
         let seen = known.seen.as_ref().filter(|_| known.missed.is_empty())?;
         let role = seen.role.as_ref()?;
-        // A role of a later generation means that our document is old.
+        // A role of a later generation means that this node's document is out of date.
         if role.generation > input.document.generation {
             return None;
         }
--- a/crates/kernel/src/evidence.rs
+++ b/crates/kernel/src/evidence.rs
@@ -1,7 +1,7 @@
-//! What is known of the runners of one domain, gathered from the table.
+//! Evidence about the runners of one domain, gathered from the table.
 //!
-//! A single watcher that misses a member stops the group from taking work;
-//! it takes two independent witnesses to move the member's place.
+//! One watcher that cannot reach a member stops the group from taking requests;
+//! replacing the member requires two independent witnesses.
 
 use std::collections::BTreeMap;
 
@@ -13,39 +13,39 @@
 use crate::row::{Body, Key, Listing, Load, Observation};
 use crate::table::Table;
 
-/// How long one watcher alone may keep a group from serving while the other
-/// one reaches the member: after that the doubt is taken for the watcher's own.
+/// How long a single watcher that cannot reach a member may keep the group from serving
+/// while another watcher reaches it. After that the fault is taken to be the watcher's.
 pub const SINGLE_DOUBT_TTL: Millis = Millis(3000);
 
-/// What is known of one runner.
+/// The evidence about one runner.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Runner {
-    /// The newest report of a watcher that reaches it.
+    /// The newest observation of a watcher that reaches it.
     pub seen: Option<Observation>,
     /// The watchers that reach it.
     pub reached: Vec<id::Node>,
-    /// The watchers that do not.
+    /// The watchers that do not reach it.
     pub missed: Vec<id::Node>,
-    /// Since when the newest of the doubts stands.
+    /// When the newest of the failures to reach it was received.
     pub missed_since: Millis,
-    /// Live watchers that have not reported yet count as silent.
+    /// The number of live watchers that have not reported yet.
     pub unreported: usize,
-    /// What the list says.
+    /// The runner's entry in the platform's list.
     pub listed: Option<Listing>,
 }
 
 impl Runner {
-    /// Two independent witnesses agree that the runner does not answer.
+    /// Whether two independent witnesses agree that the runner does not answer.
     ///
-    /// The list is one witness at the most. With one node in the hall that
-    /// node and the list have to agree.
+    /// The list counts as one witness, and at least one watcher is required. With one
+    /// node in the hall, that node and the list have to agree.
     pub fn is_missing(&self) -> bool {
         let listed_gone = self.listed.is_some_and(|listed| !listed.live);
         let witnesses = self.missed.len() + usize::from(listed_gone);
         self.reached.is_empty() && !self.missed.is_empty() && witnesses >= 2
     }
 
-    /// The witnesses by name.
+    /// Lists the names of the witnesses that report it as gone.
     pub fn list_witnesses(&self) -> Vec<String> {
         let mut names: Vec<String> = self.missed.iter().map(id::Node::to_string).collect();
         if self.listed.is_some_and(|listed| !listed.live) {
@@ -54,23 +54,23 @@
         names
     }
 
-    /// Some watcher reaches it, and no other has a doubt worth heeding.
+    /// Whether some watcher reaches it and no other one has failed to within [`SINGLE_DOUBT_TTL`].
     pub fn is_reachable(&self, now: Millis) -> bool {
         let doubt = !self.missed.is_empty() && now.since(self.missed_since) < SINGLE_DOUBT_TTL;
         !self.reached.is_empty() && !doubt
     }
 
-    /// The list shows it as leaving.
+    /// Whether the list shows it as leaving.
     pub fn is_leaving(&self) -> bool {
         self.listed.is_some_and(|listed| listed.leaving)
     }
 
-    /// The life given `place` is over: a later one answers.
+    /// Whether it has restarted: a later incarnation than that of `place` answers.
     pub fn has_restarted(&self, place: &Place) -> bool {
         self.seen.as_ref().is_some_and(|seen| seen.incarnation > place.incarnation)
     }
 
-    /// It is ready in exactly this role, and still in the life that was given the place.
+    /// Whether it is ready in exactly this role, in the incarnation that `place` names.
     pub fn is_ready(
         &self,
         group: &id::Group,
@@ -90,22 +90,22 @@
     }
 }
 
-/// What is known of the runners and groups of a domain.
+/// The evidence about the runners and groups of a domain.
 #[derive(Clone, Debug, Default)]
 pub struct Evidence {
-    /// The runners; one that nobody has heard of is not there.
+    /// The runners; one that nobody has reported is absent.
     pub runners: BTreeMap<id::Runner, Runner>,
-    /// The load of the groups, with the time it came.
+    /// The load of the groups, with the time it was received.
     pub loads: BTreeMap<id::Group, (Load, Millis)>,
 }
 
 impl Evidence {
-    /// What is known of `runner`.
+    /// Returns the evidence about `runner`; empty if there is none.
     pub fn get_runner(&self, runner: &id::Runner) -> Runner {
         self.runners.get(runner).cloned().unwrap_or_default()
     }
 
-    /// Whether every member of the group is ready in its place at the group's generation.
+    /// Whether every member of the group is ready in its place, in the group's generation.
     pub fn is_group_ready(&self, name: &id::Group, group: &domain::Group, now: Millis) -> bool {
         let ready = |(rank, place): (usize, &Place)| {
             let known = self.runners.get(&place.runner);
@@ -115,7 +115,7 @@
     }
 }
 
-/// Gathers what the table knows of one runner.
+/// Gathers the evidence about one runner from the table.
 pub fn gather_runner(table: &Table, live: &[&id::Node], runner: &id::Runner) -> Runner {
     let mut known = Runner::default();
     let mut newest = 0;
@@ -132,7 +132,7 @@
             continue;
         }
         known.reached.push(watcher.clone());
-        // Of two reports the one of the later life or order is the newer.
+        // The observation of the later incarnation, or else the later order, is the newer one.
         let order = (seen.incarnation, seen.fence, held.row.version);
         if known.seen.as_ref().is_none_or(|old| (old.incarnation, old.fence, newest) < order) {
             newest = held.row.version;
@@ -146,7 +146,7 @@
     known
 }
 
-/// Gathers what the table knows of the runners and groups of a hall's domain.
+/// Gathers the evidence about the runners and groups of a domain in `hall` from the table.
 pub fn gather_evidence<'a>(
     table: &Table,
     members: &[Member],
@@ -195,7 +195,7 @@
     }
 
     #[test]
-    fn one_doubt_closes_the_group_for_a_while_and_moves_nobody() {
+    fn one_watcher_closes_the_group_for_a_while_and_replaces_no_member() {
         let known = Runner {
             seen: Some(ready(1)),
             reached: vec![node("a")],
@@ -205,11 +205,14 @@
         };
         assert!(!is_ready(&known, 1001));
         assert!(!known.is_missing());
-        assert!(is_ready(&known, 1000 + SINGLE_DOUBT_TTL.0), "then the doubt is taken for the watcher's own");
+        assert!(
+            is_ready(&known, 1000 + SINGLE_DOUBT_TTL.0),
+            "after that the fault is taken to be the watcher's"
+        );
     }
 
     #[test]
-    fn it_takes_two_witnesses_to_be_missing_and_the_list_is_one() {
+    fn a_missing_runner_takes_two_witnesses_and_the_list_is_one() {
         let gone = Some(Listing { live: false, leaving: false });
         let one = Runner { missed: vec![node("a")], ..Runner::default() };
         let two = Runner { missed: vec![node("a"), node("b")], ..Runner::default() };
@@ -221,7 +224,7 @@
     }
 
     #[test]
-    fn a_later_life_is_not_ready_whatever_it_says() {
+    fn a_later_incarnation_is_not_ready() {
         let reborn = Runner { seen: Some(ready(2)), reached: vec![node("a")], ..Runner::default() };
         assert!(!is_ready(&reborn, 0));
         assert!(reborn.has_restarted(&place()));
--- a/crates/kernel/src/row.rs
+++ b/crates/kernel/src/row.rs
@@ -1,8 +1,8 @@
-//! Rows: the small versioned facts that nodes tell each other.
+//! Rows: the small versioned records that nodes exchange by gossip.
 //!
-//! Only one writer raises the version of a row, so of two rows with one key
-//! the higher version is the newer fact. Rows say what changed; a fleet at
-//! rest sends none.
+//! Each row has a single writer that raises its version, so of two rows with the
+//! same key the higher version is the newer one. Rows are sent when they change;
+//! an idle fleet sends none.
 
 use std::net::SocketAddr;
 
@@ -13,7 +13,7 @@
 use crate::id;
 use crate::view::Condition;
 
-/// What a row is about, and by that who writes it.
+/// The subject of a row, which also determines its writer.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Key {
     /// A node; written by itself.
@@ -22,65 +22,64 @@
     Doubt {
         /// The node that does not answer.
         of: id::Node,
-        /// The node that says so.
+        /// The node that fails to reach it.
         by: id::Node,
     },
-    /// What one watcher knows of a runner; written by the watcher.
+    /// A watcher's observation of a runner; written by the watcher.
     Seen {
         /// The runner.
         runner: id::Runner,
         /// The watcher.
         by: id::Node,
     },
-    /// A group as assigned; copied from its domain's document.
+    /// A group as placed; copied from its domain's document.
     Group(id::Group),
     /// The load of a group; written by the first watcher of its rank 0.
     Load(id::Group),
     /// Whether a group may take work; written by the node that decides for its domain.
     Whole(id::Group),
-    /// What the platform's list says of a runner; copied from the list.
+    /// A runner's entry in the platform's list; copied from the list.
     Listed(id::Runner),
 }
 
 impl Key {
-    /// Whether other halls have a use for the row. What watchers and the list
-    /// say of single runners stays in the runners' hall; the others are told of
-    /// whole groups.
+    /// Whether the row is sent to other halls. Rows about single runners stay in the
+    /// runners' hall; other halls receive only rows about groups and nodes.
     pub fn is_fleet_wide(&self) -> bool {
         !matches!(self, Key::Seen { .. } | Key::Listed(_))
     }
 }
 
-/// The fact itself.
+/// The content of a row.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Body {
     /// A node.
     Node(Node),
-    /// A doubt, or its withdrawal.
+    /// One node's report that another does not answer, or its withdrawal.
     Doubt {
         /// The version of the doubted node's row; a newer row refutes the doubt.
         version: u64,
-        /// Whether the doubt still stands.
+        /// Whether the doubt is in force.
         held: bool,
     },
     /// A runner as one watcher sees it.
     Seen(Observation),
-    /// A group as assigned.
+    /// A group as placed, or none once it is dissolved.
     Group(Option<Group>),
     /// The load of a group.
     Load(Load),
     /// Whether a group may take work.
     Whole(Readiness),
-    /// What the list says.
+    /// A runner's entry in the platform's list.
     Listed(Listing),
 }
 
 /// Whether a group may take work, for the other halls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Readiness {
-    /// The generation it holds for.
+    /// The generation to which it applies.
     pub generation: id::Generation,
-    /// Whether it may.
+    /// The condition of the group.
     pub condition: Condition,
 }
 
@@ -93,44 +92,44 @@
     pub peer: SocketAddr,
     /// Where its entry listens for other entries.
     pub entry: SocketAddr,
-    /// When this life began, which tells how long its memory reaches back.
+    /// When this process started, which bounds how far back its memory reaches.
     pub incarnation: id::Incarnation,
     /// The configuration it has in force.
     pub revision: id::Revision,
-    /// Whether it is leaving on its own will.
+    /// Whether it is shutting down in an orderly way.
     pub leaving: bool,
 }
 
-/// A runner as one watcher sees it. It leaves out what changes with every request.
+/// A runner as one watcher sees it, without what changes with every request.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Observation {
     /// Whether the runner answers this watcher.
     pub answers: bool,
-    /// The life of the runner.
+    /// The incarnation of the runner.
     pub incarnation: id::Incarnation,
-    /// The newest generation it has obeyed.
+    /// The newest generation whose order it has executed.
     pub fence: id::Generation,
     /// Its role.
     pub role: Option<engine::Role>,
-    /// How far it is with it.
+    /// Its progress in taking the role.
     pub stage: engine::Stage,
     /// The model whose weights it holds.
     pub warm: Option<id::Model>,
 }
 
-/// A group as assigned, and where its domain lies.
+/// A group as placed, with its domain.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Group {
     /// The domain.
     pub domain: id::Domain,
-    /// The assignment.
+    /// The placement of the group.
     pub group: domain::Group,
 }
 
 /// The load of a group as rank 0 reported it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Load {
-    /// The generation it holds for.
+    /// The generation to which it applies.
     pub generation: id::Generation,
     /// Requests in flight.
     pub running: u32,
@@ -138,30 +137,30 @@
     pub backlog: u64,
 }
 
-/// What the platform's list says of a runner.
+/// A runner's entry in the platform's list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Listing {
-    /// The list counts it as live.
+    /// Whether the list counts it as live.
     pub live: bool,
-    /// The list shows it as leaving.
+    /// Whether the list shows it as leaving.
     pub leaving: bool,
 }
 
-/// A fact with its key and version.
+/// A versioned record.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Row {
-    /// What it is about.
+    /// The subject.
     pub key: Key,
     /// Higher is newer.
     pub version: u64,
-    /// The fact.
+    /// The content.
     pub body: Body,
 }
 
-/// How soon a row has to be passed on; the first goes first.
+/// The urgency of sending a row; earlier variants are sent first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Urgency {
-    /// It stops work: a missing member, a leaving runner, an assignment.
+    /// It stops work: a missing member, a leaving runner, a placement.
     Stop,
     /// It starts work.
     Start,
@@ -172,8 +171,8 @@
 }
 
 impl Urgency {
-    /// How often a node passes a row of this urgency on. The checksums find
-    /// whoever was missed; what is urgent should not have to wait for them.
+    /// Returns how often a node sends a row of this urgency. The checksums repair what
+    /// was missed, but urgent rows should not have to wait for them.
     pub fn max_sends(self) -> u8 {
         match self {
             Urgency::Stop | Urgency::Start => 4,
@@ -183,7 +182,7 @@
 }
 
 impl Row {
-    /// How soon this row has to be passed on.
+    /// Returns the urgency of sending this row.
     pub fn urgency(&self) -> Urgency {
         match &self.body {
             Body::Group(_) | Body::Listed(_) | Body::Whole(_) => Urgency::Stop,
--- a/crates/kernel/src/table.rs
+++ b/crates/kernel/src/table.rs
@@ -1,8 +1,8 @@
-//! The table of rows that one node holds, and what it passes on.
+//! The table of rows that a node holds, and the rows it still has to send.
 //!
-//! Merging is commutative, associative and idempotent: the higher version
-//! wins, and of equal versions the greater body, so all nodes end with the
-//! same rows however messages are ordered, doubled or lost.
+//! Merging is commutative, associative and idempotent: the higher version wins,
+//! and between equal versions the greater body. So all nodes converge to the same
+//! rows when messages are reordered, duplicated or lost.
 
 use std::collections::{BTreeMap, HashSet};
 
@@ -10,7 +10,7 @@
 use crate::hash::hash;
 use crate::row::{Body, Key, Row, Urgency};
 
-/// How many checksums cover the rows for all halls, and as many those for one.
+/// The number of checksums over the rows for all halls; as many cover the rows of one hall.
 pub const BUCKETS: usize = 16;
 
 /// The checksums of a table: those for all halls, then those of the hall.
@@ -19,9 +19,9 @@
 /// Which rows may go into a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scope {
-    /// All rows: the receiver is in the same hall.
+    /// All rows; for a receiver in the same hall.
     Hall,
-    /// Only rows that other halls have a use for.
+    /// Only rows that other halls use.
     Fleet,
 }
 
@@ -31,19 +31,19 @@
     }
 }
 
-/// A row with what this node did with it.
+/// A row with its local bookkeeping.
 #[derive(Clone, Debug)]
 pub struct StoredRow {
     /// The row.
     pub row: Row,
-    /// When this version came to this node.
+    /// When this node received this version.
     pub since: Millis,
     bucket: usize,
     mark: u64,
 }
 
 impl StoredRow {
-    /// The short form of the row's mark that goes into messages.
+    /// Returns the low 32 bits of the row's hash, which messages carry.
     fn short_mark(&self) -> u32 {
         self.mark as u32
     }
@@ -64,11 +64,11 @@
 }
 
 fn encode<T: serde::Serialize>(value: &T) -> Vec<u8> {
-    // Encoding plain data into memory has no way to fail.
+    // Encoding plain data into memory cannot fail.
     rmp_serde::to_vec(value).unwrap_or_default()
 }
 
-/// How many bytes a row takes in a message.
+/// Returns the size of a row in a message, in bytes.
 pub fn encoded_size(row: &Row) -> usize {
     encode(row).len()
 }
@@ -82,28 +82,28 @@
     hash(&encode(row))
 }
 
-/// Load comes and goes too fast to be worth a repair.
+/// Whether the checksums cover the row. Load changes too fast to be worth a repair.
 fn is_checksummed(row: &Row) -> bool {
     !matches!(row.body, Body::Load(_))
 }
 
 impl Table {
-    /// The row under `key`.
+    /// Returns the row under `key`.
     pub fn get(&self, key: &Key) -> Option<&StoredRow> {
         self.rows.get(key)
     }
 
-    /// Every row, in the order of the keys.
+    /// Iterates over all rows in key order.
     pub fn iter(&self) -> impl Iterator<Item = &StoredRow> {
         self.rows.values()
     }
 
-    /// The rows from `from` on, in the order of the keys.
+    /// Iterates over the rows from `start` on in key order.
     pub fn iter_from(&self, start: &Key) -> impl Iterator<Item = &StoredRow> {
         self.rows.range(start.clone()..).map(|(_, held)| held)
     }
 
-    /// How many rows there are.
+    /// Returns the number of rows.
     pub fn len(&self) -> usize {
         self.rows.len()
     }
@@ -113,7 +113,7 @@
         self.rows.is_empty()
     }
 
-    /// Takes a row in if it is newer; returns whether it was.
+    /// Merges a row if it is newer than the one held; returns whether it was.
     pub fn merge(&mut self, row: Row, now: Millis) -> bool {
         let old = self.rows.get(&row.key);
         if old.is_some_and(|old| (old.row.version, &old.row.body) >= (row.version, &row.body)) {
@@ -137,12 +137,12 @@
         true
     }
 
-    /// The version that a row written here has to carry to be the newest.
+    /// Returns the version with which a row written by this node is the newest.
     pub fn next_version(&self, key: &Key, now: Millis) -> u64 {
         self.rows.get(key).map_or(0, |held| held.row.version + 1).max(now.0)
     }
 
-    /// Writes a row of this node's own, if its body differs from the present one.
+    /// Writes a row of this node if its body differs from the current one; returns whether it did.
     pub fn write(&mut self, key: Key, body: Body, now: Millis) -> bool {
         if self.rows.get(&key).is_some_and(|held| held.row.body == body) {
             return false;
@@ -151,13 +151,13 @@
         self.merge(Row { key, version, body }, now)
     }
 
-    /// Whether rows wait to be passed on.
+    /// Whether rows are waiting to be sent.
     pub fn has_pending(&self) -> bool {
         !self.pending.is_empty()
     }
 
-    /// The rows to put into the next message: most urgent first, the least
-    /// often sent first among those, at most `budget` bytes together.
+    /// Returns the rows for the next message and counts them as sent. The most urgent
+    /// rows come first, among those the least often sent; `budget` bounds their bytes.
     pub fn collect_pending(&mut self, scope: Scope, budget: usize) -> Vec<Row> {
         let mut remaining = budget;
         let mut rows = Vec::new();
@@ -181,7 +181,7 @@
         rows
     }
 
-    /// A checksum for each bucket of keys; equal tables have equal checksums.
+    /// Returns a checksum for each bucket of keys; equal tables have equal checksums.
     pub fn sums(&self, scope: Scope) -> &[u64] {
         match scope {
             Scope::Hall => &self.sums,
@@ -189,34 +189,34 @@
         }
     }
 
-    /// One checksum over all rows in scope.
+    /// Returns one checksum over all rows in scope.
     pub fn total(&self, scope: Scope) -> u64 {
         self.sums(scope).iter().fold(0, |total, sum| total ^ sum)
     }
 
-    /// The rows in the buckets whose checksum differs from `theirs`. Buckets that
-    /// `theirs` leaves out are left out.
+    /// Lists the rows in the buckets whose checksum differs from `theirs`. Buckets beyond
+    /// the end of `theirs` are skipped.
     fn list_differing<'a>(&'a self, theirs: &'a [u64]) -> impl Iterator<Item = &'a StoredRow> {
         let differs =
             |held: &&StoredRow| theirs.get(held.bucket).is_some_and(|sum| *sum != self.sums[held.bucket]);
         self.rows.values().filter(|held| is_checksummed(&held.row)).filter(differs)
     }
 
-    /// The marks of the rows where the checksums differ from `theirs`.
+    /// Lists the short hashes of the rows in the buckets whose checksum differs from `theirs`.
     pub fn list_marks(&self, theirs: &[u64]) -> Vec<u32> {
         self.list_differing(theirs).map(StoredRow::short_mark).collect()
     }
 
-    /// The marks of all rows in scope.
+    /// Lists the short hashes of all rows in scope.
     pub fn list_all_marks(&self, scope: Scope) -> Vec<u32> {
         let rows =
             self.rows.values().filter(|held| is_checksummed(&held.row) && scope.includes(&held.row.key));
         rows.map(StoredRow::short_mark).collect()
     }
 
-    /// The rows where the checksums differ from `theirs` and whose mark is not
-    /// among `marks`: what the other table lacks. The most urgent go first, at
-    /// most `budget` bytes together; `seed` varies which go among equals.
+    /// Lists the rows that the other table lacks: those in the buckets whose checksum differs
+    /// from `theirs` and whose short hash is not in `marks`. The most urgent come first;
+    /// `budget` bounds their bytes, and `seed` varies the order among equally urgent rows.
     pub fn list_missing(&self, theirs: &[u64], marks: &[u32], budget: usize, seed: u64) -> Vec<Row> {
         let marks: HashSet<u32> = marks.iter().copied().collect();
         let mut rows: Vec<&StoredRow> =
