--- a/crates/kernel/benches/decisions.rs
+++ b/crates/kernel/benches/decisions.rs
@@ -1,6 +1,6 @@
-//! The decisions that a controller takes again and again, at the size of one
-//! hall of the target fleet: 350 nodes in 5 halls, 120 runners and 4 groups of
-//! 28 in a hall of one fabric domain.
+//! The recurring decisions of a controller at the size of one hall of the target
+//! fleet: 350 nodes in 5 halls, and 120 runners and 4 groups of 28 in the hall's one
+//! fabric domain.
 
 use std::hint::black_box;
 
--- a/crates/kernel/src/decide.rs
+++ b/crates/kernel/src/decide.rs
@@ -32,7 +32,7 @@
     pub document: &'a Document,
     /// The evidence about the domain's runners and groups.
     pub evidence: &'a Evidence,
-    /// The number of live nodes of the hall, and the number it should have.
+    /// The number of live nodes of the hall, and of these together with the recently lost ones.
     pub nodes: (usize, usize),
     /// The node that makes the decision.
     pub decider: &'a id::Node,
--- a/crates/kernel/src/member.rs
+++ b/crates/kernel/src/member.rs
@@ -1,4 +1,4 @@
-//! Which nodes are live, and which of them looks after what.
+//! The live nodes, and the assignment of duties to them.
 
 use std::collections::BTreeMap;
 
@@ -8,11 +8,11 @@
 use crate::row::{Body, Key, Node};
 use crate::table::Table;
 
-/// How long two doubts must stand before a node counts as gone. It leaves the
-/// node time to refute them.
+/// How long doubts must be in force before a node counts as gone. This gives the node
+/// time to refute them.
 pub const DOUBT_CONFIRM_TIME: Millis = Millis(1500);
 
-/// How many nodes watch one runner.
+/// The number of nodes that watch a runner.
 pub const WATCHERS: usize = 2;
 
 /// A node as the table knows it.
@@ -20,17 +20,17 @@
 pub struct Member {
     /// Its name.
     pub id: id::Node,
-    /// What it says of itself.
+    /// Its own row.
     pub node: Node,
     /// The version of its row.
     pub version: u64,
     /// Whether it counts as live.
     pub live: bool,
-    /// Since when it does not answer, if it does not.
+    /// Since when it does not answer, if it counts as gone.
     pub unreachable_since: Option<Millis>,
 }
 
-/// Every node that the table knows, live or not.
+/// Lists every node in the table, live or not.
 pub fn list_members(table: &Table, now: Millis) -> Vec<Member> {
     let doubts = list_doubts(table, now);
     let nodes = table.iter().filter_map(|held| match (&held.row.key, &held.row.body) {
@@ -51,7 +51,7 @@
         *halls.entry(member.node.hall.clone()).or_default() += 1;
     }
     for member in &mut members {
-        // With two nodes in the hall the other one is the only witness there is.
+        // With two nodes in the hall, the other one is the only possible witness.
         let needed = if halls[&member.node.hall] <= 2 { 1 } else { 2 };
         let doubted = doubts.get(&(member.id.clone(), member.version));
         if let Some(doubted) = doubted.filter(|doubted| doubted.len() >= needed) {
@@ -62,7 +62,7 @@
     members
 }
 
-/// For each node and version, the doubts that stood long enough, by their start.
+/// Lists, per node and version, the start times of the doubts in force for [`DOUBT_CONFIRM_TIME`].
 fn list_doubts(table: &Table, now: Millis) -> BTreeMap<(id::Node, u64), Vec<Millis>> {
     let mut doubts: BTreeMap<(id::Node, u64), Vec<Millis>> = BTreeMap::new();
     for held in table.iter() {
@@ -77,27 +77,28 @@
     doubts
 }
 
-/// The names of the live nodes of a hall.
+/// Lists the names of the live nodes of a hall.
 pub fn list_live<'a>(members: &'a [Member], hall: &id::Hall) -> Vec<&'a id::Node> {
     members.iter().filter(|m| m.live && m.node.hall == *hall).map(|m| &m.id).collect()
 }
 
-/// The nodes that watch a runner: the two highest scores among the hall's live nodes.
+/// Picks the nodes that watch a runner: the two with the highest scores among the hall's
+/// live nodes.
 pub fn pick_watchers<'a>(runner: &id::Runner, live: &[&'a id::Node]) -> Vec<&'a id::Node> {
     pick_owners(runner.as_str(), live.iter().copied(), WATCHERS)
 }
 
-/// The node that decides for a domain.
+/// Picks the node that decides for a domain.
 pub fn pick_decider<'a>(domain: &id::Domain, live: &[&'a id::Node]) -> Option<&'a id::Node> {
     pick_owners(domain.as_str(), live.iter().copied(), 1).pop()
 }
 
-/// The nodes of a hall that watch the configuration in the store.
+/// Picks the nodes of a hall that watch the configuration in the store.
 pub fn pick_config_watchers<'a>(live: &[&'a id::Node]) -> Vec<&'a id::Node> {
     pick_owners("config", live.iter().copied(), 2)
 }
 
-/// The nodes of a hall that read the platform's list.
+/// Picks the nodes of a hall that read the platform's list.
 pub fn pick_list_readers<'a>(live: &[&'a id::Node]) -> Vec<&'a id::Node> {
     pick_owners("list", live.iter().copied(), 2)
 }
--- a/crates/kernel/src/outcome.rs
+++ b/crates/kernel/src/outcome.rs
@@ -1,34 +1,34 @@
-//! What is known of a request's fate, from admission to the last byte.
+//! The progress and outcome of a request, from admission to the last byte.
 //!
-//! *Not run* is only said when it is proved: nothing of the request was
-//! written to a backend server, or the server refused it explicitly. All else
+//! A request is reported as *not run* only if that is certain: nothing of it was
+//! written to a backend server, or the server rejected it explicitly. Otherwise it
 //! *may have run*, and once the caller has a part of the answer it is *partly
-//! answered*. Whether a retry is allowed follows from that alone.
+//! answered*. Whether a retry is allowed follows from this state alone.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// How far a request has got at its present backend server.
+/// The stage of a request at its current backend server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Stage {
     /// Nothing was written to any backend server.
     #[default]
     Unsent,
-    /// A connection is being made; nothing was written.
+    /// A connection is being opened; nothing was written.
     Connecting,
     /// Some of the request may have been written.
     Sent,
     /// The server answers.
     Answering,
-    /// The answer is whole.
+    /// The answer is complete.
     Complete,
 }
 
-/// What a caller is told of a request that failed.
+/// The outcome of a failed request as reported to the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// It was not run, surely.
+    /// It was certainly not run.
     NotRun,
     /// It may have run.
     MayHaveRun,
@@ -46,62 +46,62 @@
     }
 }
 
-/// The fate of one request over all its tries.
+/// The progress of one request over all its attempts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Progress {
     /// Whether the caller forbids a second run.
     no_repeat: bool,
     stage: Stage,
-    /// Whether some try may have run and did not answer.
+    /// Whether an earlier attempt may have run without an answer.
     may_have_run: bool,
-    /// Whether the caller has got a part of the answer.
+    /// Whether the caller has received a part of the answer.
     delivered: bool,
 }
 
-/// What may be done after a try failed.
+/// The allowed reaction to a failed attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Recovery {
-    /// Try again, from the start.
+    /// Retry from the start.
     Retry,
-    /// Go on behind what the caller has, at another group or the same.
+    /// Resume after the part that the caller has, at the same group or another.
     Resume,
-    /// Tell the caller.
+    /// Report the failure to the caller.
     Fail(Outcome),
 }
 
 impl Progress {
-    /// A request that was just admitted; `once` if it must not be repeated.
+    /// Creates the progress of a newly admitted request; `no_repeat` if it must not run twice.
     pub fn new(no_repeat: bool) -> Progress {
         Progress { no_repeat, stage: Stage::Unsent, may_have_run: false, delivered: false }
     }
 
-    /// A try begins.
+    /// Records the start of an attempt.
     pub fn begin_attempt(&mut self) {
         self.stage = Stage::Connecting;
     }
 
-    /// Bytes of the request may reach a backend server from now on.
+    /// Records that bytes of the request may reach a backend server from now on.
     pub fn mark_sent(&mut self) {
         self.stage = Stage::Sent;
     }
 
-    /// A part of the answer has come and been passed on.
+    /// Records that a part of the answer was passed on to the caller.
     pub fn mark_delivered(&mut self) {
         self.stage = Stage::Answering;
         self.delivered = true;
     }
 
-    /// The answer is whole.
+    /// Records that the answer is complete.
     pub fn mark_complete(&mut self) {
         self.stage = Stage::Complete;
     }
 
-    /// The backend server refused the request explicitly: this try did not run.
+    /// Records that the backend server rejected the request explicitly: this attempt did not run.
     pub fn mark_rejected(&mut self) {
         self.stage = Stage::Unsent;
     }
 
-    /// What a caller may be told now.
+    /// Returns the outcome to report to the caller at this point.
     pub fn outcome(&self) -> Outcome {
         if self.delivered {
             Outcome::PartlyAnswered
@@ -112,8 +112,8 @@
         }
     }
 
-    /// What may be done now that the present try has failed. `resumable` says
-    /// whether the backend server can go on from an offset.
+    /// Records that the current attempt failed and returns the allowed reaction.
+    /// `resumable` is whether the backend server can resume from an offset.
     pub fn fail_attempt(&mut self, resumable: bool) -> Recovery {
         self.may_have_run |= self.stage >= Stage::Sent;
         self.stage = Stage::Unsent;
@@ -144,7 +144,7 @@
     }
 
     #[test]
-    fn an_explicit_refusal_proves_that_it_did_not_run() {
+    fn an_explicit_rejection_proves_that_it_did_not_run() {
         let mut progress = Progress::new(true);
         progress.begin_attempt();
         progress.mark_sent();
@@ -154,7 +154,7 @@
     }
 
     #[test]
-    fn a_refusal_does_not_unsay_an_earlier_try() {
+    fn a_rejection_does_not_undo_an_earlier_attempt() {
         let mut progress = Progress::new(false);
         progress.mark_sent();
         assert_eq!(progress.fail_attempt(false), Recovery::Retry);
@@ -164,7 +164,7 @@
     }
 
     #[test]
-    fn a_broken_stream_resumes_or_says_that_it_is_partial() {
+    fn a_broken_stream_resumes_or_fails_as_partly_answered() {
         let mut progress = Progress::new(false);
         progress.mark_sent();
         progress.mark_delivered();
--- a/crates/kernel/src/route.rs
+++ b/crates/kernel/src/route.rs
@@ -1,24 +1,25 @@
-//! Picking a group for a request.
+//! Picks a group for a request.
 //!
-//! Every node sees the same lagged report of a group's load and knows exactly
-//! what it sent itself since. Picking the least loaded by report makes all
-//! nodes choose alike; two random choices weighed by report and own work do not.
+//! Every node sees the same delayed report of a group's load and knows exactly what
+//! it has sent itself since. If all nodes picked the group with the least reported
+//! load, they would all pick the same one. The better of two random choices, compared
+//! by reported and local load, avoids that.
 
 use rand::Rng;
 use serde::{Deserialize, Serialize};
 
 use crate::registry::{Part, Plugin};
 
-/// The ways to pick.
+/// A routing policy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Policy {
     /// Any group.
     Random,
-    /// One after the other.
+    /// Each group in turn.
     RoundRobin,
-    /// The least loaded by report and own work.
+    /// The group with the least reported and local load.
     LeastLoaded,
-    /// The less loaded of two random ones.
+    /// The less loaded of two random groups.
     TwoChoices,
 }
 
@@ -35,18 +36,18 @@
     Plugin { name: "two-choices", about: "the better of two random groups", part: Part::Route(Policy::TwoChoices) }
 }
 
-/// A group that may be picked.
+/// A group that can be picked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Candidate {
     /// Tokens still to generate, as last reported.
     pub reported: u64,
-    /// Tokens that this node has sent and not got back.
+    /// Tokens that this node has requested and not received yet.
     pub outstanding: u64,
-    /// Whether it lies in this hall.
+    /// Whether it is in this hall.
     pub near: bool,
 }
 
-/// A group in another hall has to be better by this many tokens.
+/// The tokens by which a group in another hall must be less loaded to be preferred.
 pub const REMOTE_HALL_PENALTY: u64 = 2000;
 
 impl Candidate {
@@ -55,7 +56,8 @@
     }
 }
 
-/// Picks one of `candidates`; none only if there are none. `pick_count` counts the picks.
+/// Picks one of `candidates`; `None` only if it is empty. `pick_count` is the number of
+/// earlier picks, which round robin uses.
 pub fn pick_candidate(
     policy: Policy,
     candidates: &[Candidate],
--- a/crates/kernel/src/view.rs
+++ b/crates/kernel/src/view.rs
@@ -1,4 +1,4 @@
-//! What a controller tells the entry on its box: where work can go.
+//! The routing view that a controller sends to the entry on its box.
 
 use std::net::SocketAddr;
 
@@ -13,14 +13,14 @@
 use crate::row::{Body, Key, Load};
 use crate::table::Table;
 
-/// An entry that has heard nothing of its controller for this long takes no
-/// new work for model groups: a member may be missing and a runner leaving.
+/// How long an entry uses a view. Without a newer one from its controller it then accepts
+/// no new requests for model groups, because a member may be missing or a runner leaving.
 pub const VIEW_TTL: Millis = Millis(2500);
 
-/// All that an entry needs to route.
+/// What an entry needs for routing.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct View {
-    /// Rises with every change of the view, within one life of the controller.
+    /// Rises with every change of the view while the controller runs.
     pub version: u64,
     /// The configuration in force on this box.
     pub revision: id::Revision,
@@ -41,17 +41,17 @@
 pub struct Group {
     /// The group.
     pub id: id::Group,
-    /// The generation that requests have to name.
+    /// The generation that requests must name.
     pub generation: id::Generation,
     /// The model it serves.
     pub model: id::Model,
-    /// Rank 0.
+    /// The address of rank 0.
     pub address: SocketAddr,
-    /// Whether it lies in the hall of this box.
+    /// Whether it is in the hall of this box.
     pub near: bool,
     /// Whether it may take work.
     pub condition: Condition,
-    /// The accounts it takes; empty for all.
+    /// The accounts it serves; empty for all.
     pub accounts: Vec<id::Account>,
     /// Its load as last reported.
     pub load: Load,
@@ -60,11 +60,11 @@
 /// Whether a group may take work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Condition {
-    /// Every member is ready: it takes new work.
+    /// Every member is ready: it takes new requests.
     Open,
-    /// Work in flight goes on, new work goes elsewhere.
+    /// In-flight requests continue; new ones go to other groups.
     Draining,
-    /// A member is missing or not ready: work in flight is lost.
+    /// A member is missing or not ready: in-flight requests are lost.
     Broken,
 }
 
@@ -82,11 +82,11 @@
 pub struct Account {
     /// The account.
     pub id: id::Account,
-    /// The bearer token that names it.
+    /// The bearer token that identifies it.
     pub token: String,
-    /// Its share, relative to the others.
+    /// Its share of the capacity, relative to the other accounts.
     pub share: u32,
-    /// The most requests in flight over the fleet.
+    /// The maximum number of in-flight requests over the whole fleet.
     pub limit: u32,
 }
 
@@ -97,11 +97,11 @@
     pub id: id::Node,
     /// Where its entry listens for other entries.
     pub entry: SocketAddr,
-    /// When its present life began.
+    /// When its process started.
     pub since: Millis,
 }
 
-/// Works out the view of a node in `hall`.
+/// Derives the view of a node in `hall`.
 pub fn derive_view(
     config: &config::Document,
     table: &Table,
@@ -176,7 +176,7 @@
     })
 }
 
-/// Whether a group of this hall may take work, by what its watchers say.
+/// Returns the condition of a group of this hall, from the observations of its watchers.
 pub fn assess_group(
     table: &Table,
     live: &[&id::Node],
@@ -197,8 +197,8 @@
     }
 }
 
-/// Whether a group of another hall may take work, as that hall said last. With
-/// none of its nodes in reach nobody vouches for it.
+/// Returns the condition of a group of another hall as that hall last reported it. The
+/// group counts as broken if none of the hall's nodes is live to confirm the report.
 fn read_reported_condition(
     table: &Table,
     live: &[&id::Node],
--- a/crates/kernel/src/wire.rs
+++ b/crates/kernel/src/wire.rs
@@ -1,4 +1,4 @@
-//! Messages between nodes, and between the system and the platform's store.
+//! Messages between nodes, and to and from the platform's store.
 
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
@@ -8,58 +8,58 @@
 use crate::id;
 use crate::row::Row;
 
-/// One half of an exchange between two controllers; request and answer alike.
+/// One message of a gossip exchange between two controllers; used for both query and answer.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Exchange {
     /// The sender.
     pub from: id::Node,
-    /// The sender's hall; facts of one hall only are told inside it.
+    /// The sender's hall; rows of a single hall are sent only inside it.
     pub hall: id::Hall,
     /// The configuration the sender has in force.
     pub revision: id::Revision,
-    /// What the receiver lacks of the configuration, as far as the sender knows.
+    /// The configuration changes that, as far as the sender knows, the receiver lacks.
     pub delta: Option<config::Delta>,
-    /// Facts, most urgent first.
+    /// Rows, most urgent first.
     pub rows: Vec<Row>,
     /// One checksum over all the sender's rows in scope, to compare.
     pub total: Option<u64>,
     /// The checksums of the sender's table, when the totals differ.
     pub sums: Option<Vec<u64>>,
-    /// The marks of the sender's rows wherever the checksums differ, so that only
-    /// rows that the sender lacks are sent to it.
+    /// The short hashes of the sender's rows where the checksums differ, so that it is sent
+    /// only rows that it lacks.
     pub marks: Option<Vec<u32>>,
 }
 
-/// An exchange as it goes over the wire: encoded, and compressed, for names
-/// come again and again in it.
+/// An exchange as sent over the wire: encoded, and compressed because the same names
+/// repeat in it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PackedExchange(#[serde(with = "serde_bytes")] Vec<u8>);
 
-/// A packed message that cannot be read.
+/// An error in a packed exchange.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum PackError {
-    /// It is not compressed as it should be.
-    #[error("not compressed as it should be: {0}")]
+    /// The compressed data is invalid.
+    #[error("compressed data of the exchange is invalid: {0}")]
     Compression(String),
-    /// It says that it is larger than any message.
-    #[error("{0} bytes are more than any message has")]
+    /// The announced size exceeds [`MAX_EXCHANGE_BYTES`].
+    #[error("exchange of {0} bytes is too large")]
     TooLarge(usize),
-    /// It is no exchange.
-    #[error("no exchange: {0}")]
+    /// The data does not decode to an exchange.
+    #[error("exchange cannot be decoded: {0}")]
     Encoding(String),
 }
 
-/// The largest exchange, unpacked, in bytes.
+/// The maximum size of an unpacked exchange, in bytes.
 pub const MAX_EXCHANGE_BYTES: usize = 4 << 20;
 
 impl PackedExchange {
     /// Packs an exchange.
     pub fn pack(exchange: &Exchange) -> PackedExchange {
-        // Encoding plain data into memory has no way to fail.
+        // Encoding plain data into memory cannot fail.
         PackedExchange(lz4_flex::compress_prepend_size(&rmp_serde::to_vec(exchange).unwrap_or_default()))
     }
 
-    /// Unpacks it.
+    /// Unpacks the exchange.
     pub fn unpack(&self) -> Result<Exchange, PackError> {
         let (size, rest) = lz4_flex::block::uncompressed_size(&self.0)
             .map_err(|error| PackError::Compression(error.to_string()))?;
@@ -70,12 +70,12 @@
         rmp_serde::from_slice(&bytes).map_err(|error| PackError::Encoding(error.to_string()))
     }
 
-    /// Its size, in bytes.
+    /// Returns the packed size, in bytes.
     pub fn len(&self) -> usize {
         self.0.len()
     }
 
-    /// Whether it is empty, which no packed exchange is.
+    /// Whether it has no bytes; no packed exchange is empty.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
@@ -89,32 +89,32 @@
         /// The key.
         key: String,
     },
-    /// Write a key if it still is at a revision; zero if it must not exist.
+    /// Write a key if its revision is as expected (compare-and-swap).
     Swap {
         /// The key.
         key: String,
-        /// The revision it has to be at.
+        /// The expected revision; zero if the key must not exist.
         expect: u64,
         /// The new value.
         #[serde(with = "serde_bytes")]
         value: Vec<u8>,
-        /// A lease that takes the key with it when it ends.
+        /// The lease whose end deletes the key.
         lease: Option<u64>,
     },
-    /// Wait until a key is at a revision above `above`.
+    /// Wait until the revision of a key is higher than `above`.
     Watch {
         /// The key.
         key: String,
-        /// Answer once the key is above this revision.
+        /// The revision to exceed.
         above: u64,
-        /// Answer with nothing after this long.
+        /// The time after which the answer is empty.
         wait: Millis,
     },
-    /// Open a lease, or keep one alive.
+    /// Open a lease or renew one.
     Lease {
-        /// The lease to keep; none to open one.
+        /// The lease to renew; none to open one.
         lease: Option<u64>,
-        /// How long it lasts without being kept.
+        /// How long it lasts without renewal.
         ttl: Millis,
     },
 }
@@ -130,11 +130,11 @@
     Conflict(Option<Value>),
     /// The lease is alive.
     Leased(u64),
-    /// There is no such lease, or no longer.
+    /// The lease does not exist, or no longer.
     NoLease,
-    /// The value is larger than the store takes.
+    /// The value is larger than the store accepts.
     TooLarge,
-    /// The store's rate is spent.
+    /// The rate limit of the store is reached.
     Busy,
 }
 
@@ -148,10 +148,10 @@
     pub bytes: Vec<u8>,
 }
 
-/// The largest value the store takes, in bytes.
+/// The maximum size of a value in the store, in bytes.
 pub const MAX_VALUE_BYTES: usize = 1 << 20;
 
-/// A line of the platform's list.
+/// An entry of the platform's list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Listed {
     /// The box.
@@ -171,19 +171,19 @@
     pub boxes: Vec<Listed>,
 }
 
-/// An entry asks an owner of a request key whether the request may run.
+/// A query from an entry to an owner of a request key about whether the request may run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Claim {
-    /// May the request with this key run?
+    /// Asks whether the request with this key may run.
     Open {
         /// The account.
         account: id::Account,
         /// The caller's key.
         key: String,
-        /// The request that wants to run.
+        /// The request to run.
         request: id::Request,
     },
-    /// The request with this key has ended.
+    /// Reports that the request with this key has ended.
     Close {
         /// The account.
         account: id::Account,
@@ -196,12 +196,12 @@
     },
 }
 
-/// The outcome of a keyed request as its owners keep it.
+/// The outcome of a keyed request as its owners store it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum KeyedOutcome {
     /// It was not run; the key is free again.
     NotRun,
-    /// It ran and was answered like this.
+    /// It ran and got this answer.
     Answered {
         /// The HTTP status.
         status: u16,
@@ -210,20 +210,20 @@
         /// The body; none when it was too large to keep.
         body: Option<Vec<u8>>,
     },
-    /// It may have run; nobody knows.
+    /// It is unknown whether it ran.
     MayHaveRun,
 }
 
 /// The answer to a claim.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ClaimReply {
-    /// The key was free and is now this request's.
+    /// The key was free and now belongs to this request.
     First,
     /// Another request with this key is in flight.
     Running,
     /// Another request with this key has ended.
     Done(KeyedOutcome),
-    /// Taken note of.
+    /// The end of the request is recorded.
     Noted,
 }
 
@@ -234,12 +234,12 @@
     pub line: String,
 }
 
-/// What an operator's command gave.
+/// The result of an operator's command.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Reply {
-    /// Whether it was carried out.
+    /// Whether it was executed.
     pub ok: bool,
-    /// The answer as lines of text or a table.
+    /// The result as lines of text or a table.
     pub table: Table,
 }
 
@@ -253,12 +253,12 @@
 }
 
 impl Table {
-    /// An empty table with these columns.
+    /// Creates an empty table with these columns.
     pub fn new(columns: &[&str]) -> Table {
         Table { columns: columns.iter().map(|c| (*c).to_owned()).collect(), rows: Vec::new() }
     }
 
-    /// A table with one column and one cell.
+    /// Creates a table with one column and one cell.
     pub fn line(text: impl ToString) -> Table {
         Table { columns: vec!["result".to_owned()], rows: vec![vec![text.to_string()]] }
     }
@@ -290,7 +290,7 @@
     use assert_matches::assert_matches;
 
     #[test]
-    fn what_was_packed_is_unpacked_and_nothing_else() {
+    fn a_packed_exchange_is_unpacked_and_invalid_data_is_rejected() {
         let exchange = Exchange {
             from: "n1".parse().unwrap(),
             hall: "h1".parse().unwrap(),
--- a/crates/kernel/tests/explore.rs
+++ b/crates/kernel/tests/explore.rs
@@ -1,6 +1,7 @@
-//! Every order of events of a small domain: two deciders, one document, three
-//! runners, one group of two; with one death, one rebirth and one lost answer
-//! at any moment, and orders that arrive late, doubled or never.
+//! Searches every order of events of a small domain for a broken invariant. The domain
+//! has two deciders, one document, three runners and one group of two. Up to two crashes,
+//! one restart, one lost store answer and one duplicated order occur at any moment, and
+//! orders arrive late or never.
 
 mod world;
 
@@ -10,7 +11,7 @@
 use cottoncrank::config::Fence;
 use world::{Violation, World};
 
-/// What may still go wrong in one history.
+/// The faults that may still occur in one history.
 #[derive(Clone, Copy, Debug, Hash)]
 struct Mishaps {
     deaths: u8,
@@ -33,7 +34,7 @@
     hasher.finish()
 }
 
-/// A document without its past, which decides nothing.
+/// Returns a document without its events, which no decision depends on.
 fn brief(held: &Option<(u64, cottoncrank::domain::Document)>) -> Option<String> {
     let (revision, document) = held.as_ref()?;
     Some(format!("{revision}{}{:?}{:?}", document.generation, document.groups, document.quarantine))
@@ -90,7 +91,7 @@
 
 fn search(fence: Fence, depth: u32) -> Search {
     let mut world = World::new(3, 1, 2, 2, fence);
-    // Start where the group is whole, so that the depth goes into what follows.
+    // Start with a complete group, so that the search depth covers what follows.
     world.settle(1, 20).expect("a healthy domain forms its group");
     for decider in &mut world.deciders {
         decider.cache = Some(world.store.clone());
--- a/crates/kernel/tests/merge.rs
+++ b/crates/kernel/tests/merge.rs
@@ -1,4 +1,4 @@
-//! What must hold for every order, loss and repetition of messages.
+//! Properties that hold for every order, loss and duplication of messages.
 
 use std::collections::BTreeMap;
 
@@ -15,7 +15,7 @@
     format!("n{n}").parse().unwrap()
 }
 
-/// A row of a small fleet; few keys and versions, so that they collide.
+/// Generates rows of a small fleet, with few keys and versions so that they collide.
 fn any_row() -> impl Strategy<Value = Row> {
     let seen = (0..4u8, 0..3u8, 1..5u64, any::<bool>(), 0..3u64).prop_map(
         |(runner, by, version, answers, fence)| {
@@ -90,7 +90,7 @@
     }
 
     #[test]
-    fn two_tables_become_equal_by_what_differs(
+    fn two_tables_converge_by_exchanging_missing_rows(
         one in prop::collection::vec(any_row(), 0..40),
         two in prop::collection::vec(any_row(), 0..40),
     ) {
@@ -107,7 +107,7 @@
     }
 
     #[test]
-    fn a_message_stays_inside_its_bytes(
+    fn a_message_stays_within_its_budget(
         rows in prop::collection::vec(any_row(), 0..60),
         budget in 0usize..600,
     ) {
@@ -119,7 +119,7 @@
     }
 
     #[test]
-    fn other_halls_hear_nothing_of_single_runners(rows in prop::collection::vec(any_row(), 0..60)) {
+    fn other_halls_receive_no_rows_about_single_runners(rows in prop::collection::vec(any_row(), 0..60)) {
         let mut table = fill(&rows);
         let wide = table.collect_pending(Scope::Fleet, usize::MAX);
         let all_wide = wide.iter().all(|row| row.key.is_fleet_wide());
@@ -146,13 +146,13 @@
             let before = holder.revision;
             holder.adopt(sender.delta(Revision(base as u64)));
             prop_assert!(holder.revision >= before);
-            // Whatever it holds is one of the accepted documents, whole.
+            // It always holds exactly one of the accepted documents.
             prop_assert!(history.contains(&holder));
         }
     }
 
     #[test]
-    fn every_runner_has_its_watchers_and_they_move_little(
+    fn losing_a_node_keeps_the_other_watchers_of_each_runner(
         nodes in 1usize..80,
         lost in 0usize..80,
         runners in 1usize..150,
