--- a/crates/kernel/tests/explore.rs
+++ b/crates/kernel/tests/explore.rs
@@ -13,9 +13,9 @@
 
 /// The faults that may still occur in one history.
 #[derive(Clone, Copy, Debug, Hash)]
-struct Mishaps {
-    deaths: u8,
-    births: u8,
+struct FaultBudget {
+    crashes: u8,
+    restarts: u8,
     doubled: u8,
 }
 
@@ -25,64 +25,67 @@
     whole: usize,
 }
 
-fn fingerprint(world: &World, mishaps: Mishaps) -> u64 {
+fn fingerprint(world: &World, faults: FaultBudget) -> u64 {
     let mut hasher = DefaultHasher::new();
-    let deciders: Vec<String> =
-        world.deciders.iter().map(|d| format!("{:?}{:?}", brief(&d.cache), brief(&d.pending))).collect();
-    (&world.runners, format!("{:?}", brief(&Some(world.store.clone()))), deciders).hash(&mut hasher);
-    (format!("{:?}", world.wire), world.lose_answers, mishaps).hash(&mut hasher);
+    let deciders: Vec<String> = world
+        .deciders
+        .iter()
+        .map(|d| format!("{:?}{:?}", summarize(&d.cache), summarize(&d.pending)))
+        .collect();
+    (&world.runners, format!("{:?}", summarize(&Some(world.store.clone()))), deciders).hash(&mut hasher);
+    (format!("{:?}", world.wire), world.lose_answers, faults).hash(&mut hasher);
     hasher.finish()
 }
 
 /// Returns a document without its events, which no decision depends on.
-fn brief(held: &Option<(u64, cottoncrank::domain::Document)>) -> Option<String> {
+fn summarize(held: &Option<(u64, cottoncrank::domain::Document)>) -> Option<String> {
     let (revision, document) = held.as_ref()?;
     Some(format!("{revision}{}{:?}{:?}", document.generation, document.groups, document.quarantine))
 }
 
-fn explore(world: &World, mishaps: Mishaps, depth: u32, search: &mut Search) {
-    if search.violation.is_some() || !search.seen.insert(fingerprint(world, mishaps) ^ u64::from(depth)) {
+fn explore(world: &World, faults: FaultBudget, depth: u32, search: &mut Search) {
+    if search.violation.is_some() || !search.seen.insert(fingerprint(world, faults) ^ u64::from(depth)) {
         return;
     }
     if let Some(violation) = world.violations.first() {
         search.violation = Some(violation.clone());
         return;
     }
-    search.whole += world.whole().len();
+    search.whole += world.list_whole_groups().len();
     if depth == 0 {
         return;
     }
-    let mut go = |mishaps: Mishaps, act: &dyn Fn(&mut World) -> bool| {
+    let mut branch = |faults: FaultBudget, apply: &dyn Fn(&mut World) -> bool| {
         let mut next = world.clone();
-        if act(&mut next) {
-            explore(&next, mishaps, depth - 1, search);
+        if apply(&mut next) {
+            explore(&next, faults, depth - 1, search);
         }
     };
     for decider in 0..world.deciders.len() {
-        go(mishaps, &|w| w.read(decider));
-        go(mishaps, &|w| w.decide(decider));
-        go(mishaps, &|w| w.write(decider));
-        go(mishaps, &|w| w.order(decider));
+        branch(faults, &|w| w.read(decider));
+        branch(faults, &|w| w.decide(decider));
+        branch(faults, &|w| w.write(decider));
+        branch(faults, &|w| w.order(decider));
     }
     for message in 0..world.wire.len() {
-        go(mishaps, &|w| w.deliver(message, false));
-        if mishaps.doubled > 0 {
-            let mishaps = Mishaps { doubled: mishaps.doubled - 1, ..mishaps };
-            go(mishaps, &|w| w.deliver(message, true));
+        branch(faults, &|w| w.deliver(message, false));
+        if faults.doubled > 0 {
+            let faults = FaultBudget { doubled: faults.doubled - 1, ..faults };
+            branch(faults, &|w| w.deliver(message, true));
         }
     }
     for runner in 0..world.runners.len() {
-        if mishaps.deaths > 0 && world.runners[runner].alive {
-            let mishaps = Mishaps { deaths: mishaps.deaths - 1, ..mishaps };
-            go(mishaps, &|w| {
-                w.kill(runner);
+        if faults.crashes > 0 && world.runners[runner].alive {
+            let faults = FaultBudget { crashes: faults.crashes - 1, ..faults };
+            branch(faults, &|w| {
+                w.crash(runner);
                 true
             });
         }
-        if mishaps.births > 0 && !world.runners[runner].alive {
-            let mishaps = Mishaps { births: mishaps.births - 1, ..mishaps };
-            go(mishaps, &|w| {
-                w.revive(runner);
+        if faults.restarts > 0 && !world.runners[runner].alive {
+            let faults = FaultBudget { restarts: faults.restarts - 1, ..faults };
+            branch(faults, &|w| {
+                w.restart(runner);
                 true
             });
         }
@@ -98,7 +101,7 @@
     }
     world.lose_answers = 1;
     let mut search = Search { seen: HashSet::new(), violation: None, whole: 0 };
-    explore(&world, Mishaps { deaths: 2, births: 1, doubled: 1 }, depth, &mut search);
+    explore(&world, FaultBudget { crashes: 2, restarts: 1, doubled: 1 }, depth, &mut search);
     search
 }
 
@@ -114,5 +117,5 @@
 #[test]
 fn without_fences_the_same_search_finds_a_runner_going_back() {
     let search = search(Fence::Unchecked, 9);
-    assert!(matches!(search.violation, Some(Violation::Back { .. })), "{:?}", search.violation);
+    assert!(matches!(search.violation, Some(Violation::Regressed { .. })), "{:?}", search.violation);
 }
--- a/crates/kernel/tests/matrix.rs
+++ b/crates/kernel/tests/matrix.rs
@@ -1,6 +1,6 @@
-//! Every fault at every step of a group's life, on a set clock. The outcomes
-//! are docs/FAULTS.md; `UPDATE_FAULTS=1 cargo test -p cottoncrank --test
-//! matrix` writes them anew.
+//! Injects every fault at every step of a group's lifecycle, on a simulated clock, and
+//! compares the outcomes with docs/FAULTS.md. `UPDATE_FAULTS=1 cargo test -p cottoncrank
+//! --test matrix` rewrites that file.
 
 mod world;
 
@@ -11,35 +11,35 @@
 use cottoncrank::id;
 use world::{World, index};
 
-/// Runners of the domain; two groups of three and one spare.
+/// The number of runners of the domain: two groups of three and one spare.
 const RUNNERS: usize = 7;
 
-/// Rounds of 200 ms after which a domain has to be at rest.
-const MOST: u32 = 120;
+/// The number of rounds of 200 ms within which a domain must settle.
+const MAX_ROUNDS: u32 = 120;
 
-/// Rounds that requests in flight take to end.
+/// The number of rounds until in-flight requests end.
 const IN_FLIGHT: u32 = 5;
 
-/// Where in a group's life the fault comes.
+/// The step of a group's lifecycle at which the fault occurs.
 #[derive(Clone, Copy, Debug)]
 enum Step {
-    /// The change is decided and not written.
+    /// The change is decided but not written.
     Claim,
-    /// The change is written, no order has arrived.
+    /// The change is written; no order has arrived.
     Order,
     /// One order of a group has arrived.
     Ready,
-    /// Both groups serve, with requests in flight.
+    /// Both groups serve with requests in flight.
     Serve,
-    /// A member is leaving, its group drains with requests in flight.
+    /// A member is leaving, and its group drains with requests in flight.
     Drain,
-    /// The drained group is taken apart, the releases have not arrived.
+    /// The drained group is dissolved; the releases have not arrived.
     Release,
 }
 
 const STEPS: [Step; 6] = [Step::Claim, Step::Order, Step::Ready, Step::Serve, Step::Drain, Step::Release];
 
-/// What goes wrong.
+/// A fault.
 #[derive(Clone, Copy, Debug)]
 enum Fault {
     Nothing,
@@ -80,12 +80,12 @@
 /// A member of group g0 as configured, or as it will be.
 const MEMBER: usize = 1;
 
-/// The runner that both groups leave over.
+/// The runner that belongs to neither group.
 const SPARE: usize = 6;
 
-/// Brings a domain with one decider at work to the step. The second decider
-/// has taken nothing up yet.
-fn bring_to(step: Step, fence: Fence) -> World {
+/// Brings a domain with one active decider to the step. The second decider has not
+/// started yet.
+fn advance_to(step: Step, fence: Fence) -> World {
     let mut world = World::new(RUNNERS, 2, 3, 2, fence);
     world.deciders[1].stopped = true;
     match step {
@@ -103,7 +103,7 @@
             }
         }
         Step::Serve | Step::Drain | Step::Release => {
-            world.settle(2, MOST).expect("a healthy domain forms its groups");
+            world.settle(2, MAX_ROUNDS).expect("a healthy domain forms its groups");
             start_requests(&mut world);
         }
     }
@@ -135,18 +135,18 @@
     world.runners.iter_mut().for_each(|runner| runner.running = 0);
 }
 
-/// Lets the fault happen, and what ends it, if anything does.
-fn strike(world: &mut World, fault: Fault) {
-    let later = |world: &mut World| (0..IN_FLIGHT).for_each(|_| world.round());
+/// Injects the fault, and ends it if it is temporary.
+fn inject(world: &mut World, fault: Fault) {
+    let run_rounds = |world: &mut World| (0..IN_FLIGHT).for_each(|_| world.round());
     match fault {
         Fault::Nothing => {}
-        Fault::MemberDies => world.kill(MEMBER),
-        Fault::MemberReturns => world.revive(MEMBER),
-        Fault::SpareDies => world.kill(SPARE),
+        Fault::MemberDies => world.crash(MEMBER),
+        Fault::MemberReturns => world.restart(MEMBER),
+        Fault::SpareDies => world.crash(SPARE),
         Fault::DomainDark => {
-            (0..RUNNERS).for_each(|runner| world.kill(runner));
-            later(world);
-            (0..RUNNERS).for_each(|runner| world.revive(runner));
+            (0..RUNNERS).for_each(|runner| world.crash(runner));
+            run_rounds(world);
+            (0..RUNNERS).for_each(|runner| world.restart(runner));
         }
         Fault::DeciderDies => {
             world.deciders[0].stopped = true;
@@ -156,7 +156,7 @@
             world.decide(0);
             world.deciders[0].stopped = true;
             world.deciders[1].stopped = false;
-            later(world);
+            run_rounds(world);
             world.deciders[0].stopped = false;
             world.write(0);
             world.order(0);
@@ -164,24 +164,24 @@
         Fault::TwoDeciders => world.deciders[1].stopped = false,
         Fault::DeciderCutFromStore => {
             world.deciders[0].cut_from_store = true;
-            later(world);
+            run_rounds(world);
             world.deciders[0].cut_from_store = false;
         }
         Fault::DeciderCutFromRunners => {
             world.deciders[0].cut_from_runners = true;
-            later(world);
+            run_rounds(world);
             world.deciders[0].cut_from_runners = false;
         }
         Fault::StoreDown => {
             world.store_down = true;
-            later(world);
+            run_rounds(world);
             world.store_down = false;
         }
         Fault::AnswerLost => world.lose_answers += 1,
         Fault::OrdersDoubled => {
             world.order(0);
             let copies = world.wire.clone();
-            later(world);
+            run_rounds(world);
             world.wire.extend(copies);
         }
         Fault::OperatorDrains => {
@@ -199,8 +199,8 @@
     }
 }
 
-/// Groups that can be whole with the runners there are.
-fn expected(world: &World) -> usize {
+/// Counts the groups that the usable runners can complete.
+fn count_expected(world: &World) -> usize {
     let usable = |at: &usize| {
         let key = Key::new(Kind::Runner, format!("r{at}"));
         let drained = matches!(world.config.get(&key), Some(Entry::Runner { drained: true, .. }));
@@ -218,18 +218,18 @@
 }
 
 fn run(step: Step, fault: Fault, times: u32, fence: Fence) -> (Outcome, World) {
-    let mut world = bring_to(step, fence);
+    let mut world = advance_to(step, fence);
     let (writes, orders) = (world.writes, world.orders);
     let mut rounds = Some(0);
     for _ in 0..times {
-        strike(&mut world, fault);
+        inject(&mut world, fault);
         (0..IN_FLIGHT).for_each(|_| world.round());
         end_requests(&mut world);
-        let count = expected(&world);
-        rounds = world.settle(count, MOST).zip(rounds).map(|(more, before)| more + IN_FLIGHT + before);
+        let count = count_expected(&world);
+        rounds = world.settle(count, MAX_ROUNDS).zip(rounds).map(|(more, before)| more + IN_FLIGHT + before);
     }
     let outcome = Outcome {
-        whole: world.whole().len(),
+        whole: world.list_whole_groups().len(),
         rounds,
         writes: world.writes - writes,
         orders: world.orders - orders,
@@ -237,7 +237,7 @@
     (outcome, world)
 }
 
-/// No runner is a member of two groups, and the members are where they think.
+/// Checks that no runner is in two groups and that each role matches the document.
 fn check_places(world: &World) {
     world.store.1.check().unwrap();
     for (at, runner) in world.runners.iter().enumerate() {
@@ -265,7 +265,7 @@
                 check_places(&world);
                 assert_eq!(
                     outcome.whole,
-                    expected(&world),
+                    count_expected(&world),
                     "{fault:?} at {step:?}: {:?}",
                     world.store.1.groups
                 );
@@ -277,7 +277,7 @@
             page.push('\n');
         }
     }
-    // Asked when the test runs: a shared target folder outlives the clone it was built from.
+    // Read at run time, because a shared target folder can outlive the clone it was built from.
     let package = std::env::var_os("CARGO_MANIFEST_DIR").expect("cargo names the package's folder");
     let path = Path::new(&package).join("../../docs/FAULTS.md");
     if std::env::var_os("UPDATE_FAULTS").is_some() {
@@ -307,9 +307,9 @@
 
 #[test]
 fn without_fences_late_orders_are_caught() {
-    let mut world = bring_to(Step::Serve, Fence::Unchecked);
+    let mut world = advance_to(Step::Serve, Fence::Unchecked);
     let old = world.list_old_orders();
-    world.kill(MEMBER);
+    world.crash(MEMBER);
     (0..IN_FLIGHT).for_each(|_| world.round());
     world.wire.extend(old);
     world.round();
--- a/crates/kernel/tests/world/mod.rs
+++ b/crates/kernel/tests/world/mod.rs
@@ -1,6 +1,5 @@
-//! A domain small enough to look at whole: a store, deciders, runners, and
-//! orders on their way, all on a set clock. Every move is a method; the
-//! invariants are looked at after each.
+//! A simulated domain: a store, deciders, runners and orders in transit, on a simulated
+//! clock. Every step is a method that records violations of the invariants.
 
 #![allow(dead_code, reason = "each test file uses a part of this module")]
 
@@ -11,11 +10,11 @@
 use cottoncrank::decide::{Decision, Input, decide_change, list_orders};
 use cottoncrank::domain::{Document, Phase};
 use cottoncrank::engine::{Order, Role, Stage};
-use cottoncrank::evidence::{Evidence, Runner as Known};
+use cottoncrank::evidence::{Evidence, Runner as RunnerEvidence};
 use cottoncrank::id;
 use cottoncrank::row::{Load, Observation};
 
-/// A runner as it really is.
+/// The actual state of a runner.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Runner {
     pub alive: bool,
@@ -26,29 +25,29 @@
     pub running: u32,
 }
 
-/// A node that decides, with the document as it last knew it.
+/// A node that decides, with the document as it last read it.
 #[derive(Clone, Debug, Default)]
 pub struct Decider {
     pub cache: Option<(u64, Document)>,
     pub cut_from_store: bool,
     pub cut_from_runners: bool,
     pub stopped: bool,
-    /// A write it has decided on and not sent yet, as when it is paused.
+    /// A write that is decided but not sent, for example because the node is paused.
     pub pending: Option<(u64, Document)>,
 }
 
-/// An invariant that does not hold.
+/// A violated invariant.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Violation {
-    /// The document breaks its own check.
+    /// The document fails its own check.
     Document(String),
-    /// A runner took a role older than one it had in the same life.
-    Back { runner: usize, from: u64, to: u64 },
-    /// A runner lost its role with requests in flight, by plan.
-    Cut { runner: usize },
+    /// A runner took a role older than one it had in the same incarnation.
+    Regressed { runner: usize, from: u64, to: u64 },
+    /// A runner lost its role by a planned change while it had requests in flight.
+    Interrupted { runner: usize },
 }
 
-/// The domain.
+/// The simulated domain.
 #[derive(Clone, Debug)]
 pub struct World {
     pub now: Millis,
@@ -79,7 +78,7 @@
 }
 
 impl World {
-    /// `runners` idle runners and `groups` configured groups of `size`.
+    /// Creates a domain with idle runners and `groups` configured groups of `size`.
     pub fn new(runners: usize, groups: usize, size: u16, deciders: usize, fence: Fence) -> World {
         let mut config = config::Document::default();
         let mut put = |key: Key, entry: Entry| {
@@ -116,12 +115,12 @@
         }
     }
 
-    /// What a decider can know at best: watchers that see the truth.
+    /// Returns the evidence of watchers that see the actual state.
     fn evidence(&self, decider: usize) -> Evidence {
         let watchers: [id::Node; 2] = ["w0".parse().unwrap(), "w1".parse().unwrap()];
         let mut evidence = Evidence::default();
         for (at, runner) in self.runners.iter().enumerate() {
-            let mut known = Known::default();
+            let mut known = RunnerEvidence::default();
             let role = runner.role.as_ref().map(|(group, generation, rank)| Role {
                 group: group.parse().unwrap(),
                 generation: id::Generation(*generation),
@@ -154,7 +153,7 @@
     fn with_input<T>(&self, decider: usize, document: &Document, call: impl FnOnce(&Input) -> T) -> T {
         let evidence = self.evidence(decider);
         let decider_id: id::Node = format!("n{decider}").parse().unwrap();
-        // A decider that is cut from all runners is cut from the watchers too.
+        // A decider that is cut off from all runners is cut off from the watchers too.
         let nodes = if self.deciders[decider].cut_from_runners { (1, 3) } else { (3, 3) };
         call(&Input {
             config: &self.config,
@@ -168,7 +167,7 @@
         })
     }
 
-    /// A decider reads the document if it has none.
+    /// Lets a decider read the document if it has none.
     pub fn read(&mut self, decider: usize) -> bool {
         let node = &self.deciders[decider];
         if node.stopped || node.cut_from_store || self.store_down || node.cache.is_some() {
@@ -178,7 +177,7 @@
         true
     }
 
-    /// A decider decides on a change, and does not send it yet.
+    /// Lets a decider decide on a change without sending it.
     pub fn decide(&mut self, decider: usize) -> bool {
         let node = &self.deciders[decider];
         if node.stopped || node.pending.is_some() {
@@ -190,7 +189,7 @@
         true
     }
 
-    /// A decider sends the write it decided on.
+    /// Lets a decider send the write it decided on.
     pub fn write(&mut self, decider: usize) -> bool {
         if self.deciders[decider].stopped {
             return false;
@@ -217,7 +216,7 @@
         true
     }
 
-    /// A decider sends every order that its document asks for.
+    /// Lets a decider send every order that its document requires.
     pub fn order(&mut self, decider: usize) -> bool {
         let node = &self.deciders[decider];
         if node.stopped || node.cut_from_runners {
@@ -237,7 +236,7 @@
         sent
     }
 
-    /// The orders that led to the present roles, as a network could repeat them.
+    /// Lists the orders that led to the current roles, as a network could repeat them.
     pub fn list_old_orders(&self) -> Vec<(usize, Order)> {
         let mut orders = Vec::new();
         for (id, group) in &self.store.1.groups {
@@ -255,12 +254,12 @@
         orders
     }
 
-    /// An order arrives; `again` leaves a copy on its way.
-    pub fn deliver(&mut self, message: usize, again: bool) -> bool {
+    /// Delivers an order; `duplicate` leaves a copy in transit.
+    pub fn deliver(&mut self, message: usize, duplicate: bool) -> bool {
         if message >= self.wire.len() {
             return false;
         }
-        let (at, order) = if again { self.wire[message].clone() } else { self.wire.remove(message) };
+        let (at, order) = if duplicate { self.wire[message].clone() } else { self.wire.remove(message) };
         let runner = &mut self.runners[at];
         if !runner.alive {
             return true;
@@ -281,35 +280,35 @@
         if let (Some((_, from, _)), Some((_, to, _))) = (&before, &runner.role)
             && to < from
         {
-            self.violations.push(Violation::Back { runner: at, from: *from, to: *to });
+            self.violations.push(Violation::Regressed { runner: at, from: *from, to: *to });
         }
         runner.fence = runner.fence.max(generation);
         if before.is_some() && before != runner.role && runner.running > 0 {
-            // Once a member has died its group's requests are lost with it, not by plan.
+            // Once a member has crashed, its group's requests are lost with it and not by a planned change.
             if self.lost_members.is_empty() {
-                self.violations.push(Violation::Cut { runner: at });
+                self.violations.push(Violation::Interrupted { runner: at });
             }
             runner.running = 0;
         }
         true
     }
 
-    /// A runner dies.
-    pub fn kill(&mut self, runner: usize) {
+    /// Crashes a runner.
+    pub fn crash(&mut self, runner: usize) {
         self.lost_members.insert(runner);
         self.runners[runner].alive = false;
         self.runners[runner].running = 0;
     }
 
-    /// A dead or living runner starts again and knows nothing.
-    pub fn revive(&mut self, runner: usize) {
+    /// Restarts a runner, running or not, with empty state.
+    pub fn restart(&mut self, runner: usize) {
         self.lost_members.insert(runner);
         let old = &self.runners[runner];
         let (incarnation, leaving) = (old.incarnation + 1, old.leaving);
         self.runners[runner] = Runner { alive: true, leaving, incarnation, fence: 0, role: None, running: 0 };
     }
 
-    /// One round of every decider: read, decide, write, order; then all orders arrive.
+    /// Runs one round: every decider reads, decides, writes and sends orders, then all orders arrive.
     pub fn round(&mut self) {
         self.now = self.now + Millis(200);
         for decider in 0..self.deciders.len() {
@@ -323,8 +322,8 @@
         }
     }
 
-    /// The groups that are whole as the document in the store has them.
-    pub fn whole(&self) -> BTreeMap<id::Group, u64> {
+    /// Lists the groups that are complete as the document in the store has them.
+    pub fn list_whole_groups(&self) -> BTreeMap<id::Group, u64> {
         let groups = self.store.1.groups.iter();
         let whole = groups.filter(|(id, group)| {
             group.members.iter().enumerate().all(|(rank, place)| {
@@ -338,14 +337,14 @@
         whole.map(|(id, group)| (id.clone(), group.generation.0)).collect()
     }
 
-    /// Rounds until `count` groups are whole and no decider wants a change, or
-    /// `most` rounds are over. Returns the rounds it took.
-    pub fn settle(&mut self, count: usize, most: u32) -> Option<u32> {
-        (1..=most).find(|_| {
+    /// Runs rounds until `count` groups are complete and no decider makes a change, at most
+    /// `max_rounds`. Returns the number of rounds, or `None` if the domain did not settle.
+    pub fn settle(&mut self, count: usize, max_rounds: u32) -> Option<u32> {
+        (1..=max_rounds).find(|_| {
             let before = self.writes;
             self.round();
             let draining = self.store.1.groups.values().any(|group| group.phase == Phase::Drain);
-            self.whole().len() == count && self.writes == before && !draining
+            self.list_whole_groups().len() == count && self.writes == before && !draining
         })
     }
 }
