--- a/crates/kernel/src/decide.rs
+++ b/crates/kernel/src/decide.rs
@@ -340,18 +340,18 @@
     let mut document = input.document.clone();
     document.generation = document.generation.next();
     let generation = document.generation;
-    let reborn =
+    let restarted =
         group.members.iter().find(|place| input.evidence.get_runner(&place.runner).has_restarted(place));
     if let Some(group) = document.groups.get_mut(name) {
         group.generation = generation;
         update_incarnations(input, &mut group.members);
     }
-    if let Some(reborn) = reborn {
+    if let Some(restarted) = restarted {
         let passed = vec![Passed {
             option: "replace the member".to_owned(),
             reason: "it answers again, and the others are warm".to_owned(),
         }];
-        let cause = Cause::Restarted(reborn.runner.clone());
+        let cause = Cause::Restarted(restarted.runner.clone());
         document.record(build_event(input, name, Action::Reload, cause, passed));
     }
     document
--- a/crates/kernel/src/evidence.rs
+++ b/crates/kernel/src/evidence.rs
@@ -225,9 +225,9 @@
 
     #[test]
     fn a_later_incarnation_is_not_ready() {
-        let reborn = Runner { seen: Some(ready(2)), reached: vec![node("a")], ..Runner::default() };
-        assert!(!is_ready(&reborn, 0));
-        assert!(reborn.has_restarted(&place()));
+        let restarted = Runner { seen: Some(ready(2)), reached: vec![node("a")], ..Runner::default() };
+        assert!(!is_ready(&restarted, 0));
+        assert!(restarted.has_restarted(&place()));
         let same = Runner { seen: Some(ready(1)), reached: vec![node("a")], ..Runner::default() };
         assert!(is_ready(&same, 0));
         assert!(!same.has_restarted(&place()));
--- a/crates/kernel/src/table.rs
+++ b/crates/kernel/src/table.rs
@@ -194,17 +194,17 @@
         self.sums(scope).iter().fold(0, |total, sum| total ^ sum)
     }
 
-    /// Lists the rows in the buckets whose checksum differs from `theirs`. Buckets beyond
-    /// the end of `theirs` are skipped.
-    fn list_differing<'a>(&'a self, theirs: &'a [u64]) -> impl Iterator<Item = &'a StoredRow> {
+    /// Lists the rows in the buckets whose checksum differs from `other_sums`. Buckets beyond
+    /// the end of `other_sums` are skipped.
+    fn list_differing<'a>(&'a self, other_sums: &'a [u64]) -> impl Iterator<Item = &'a StoredRow> {
         let differs =
-            |held: &&StoredRow| theirs.get(held.bucket).is_some_and(|sum| *sum != self.sums[held.bucket]);
+            |held: &&StoredRow| other_sums.get(held.bucket).is_some_and(|sum| *sum != self.sums[held.bucket]);
         self.rows.values().filter(|held| is_checksummed(&held.row)).filter(differs)
     }
 
-    /// Lists the short hashes of the rows in the buckets whose checksum differs from `theirs`.
-    pub fn list_marks(&self, theirs: &[u64]) -> Vec<u32> {
-        self.list_differing(theirs).map(StoredRow::short_mark).collect()
+    /// Lists the short hashes of the rows in the buckets whose checksum differs from `other_sums`.
+    pub fn list_marks(&self, other_sums: &[u64]) -> Vec<u32> {
+        self.list_differing(other_sums).map(StoredRow::short_mark).collect()
     }
 
     /// Lists the short hashes of all rows in scope.
@@ -215,12 +215,12 @@
     }
 
     /// Lists the rows that the other table lacks: those in the buckets whose checksum differs
-    /// from `theirs` and whose short hash is not in `marks`. The most urgent come first;
+    /// from `other_sums` and whose short hash is not in `marks`. The most urgent come first;
     /// `budget` bounds their bytes, and `seed` varies the order among equally urgent rows.
-    pub fn list_missing(&self, theirs: &[u64], marks: &[u32], budget: usize, seed: u64) -> Vec<Row> {
+    pub fn list_missing(&self, other_sums: &[u64], marks: &[u32], budget: usize, seed: u64) -> Vec<Row> {
         let marks: HashSet<u32> = marks.iter().copied().collect();
         let mut rows: Vec<&StoredRow> =
-            self.list_differing(theirs).filter(|held| !marks.contains(&held.short_mark())).collect();
+            self.list_differing(other_sums).filter(|held| !marks.contains(&held.short_mark())).collect();
         rows.sort_by_key(|held| (held.row.urgency(), held.mark ^ seed));
         let mut remaining = budget;
         let fits = |held: &&StoredRow| {
