--- a/crates/kernel/tests/merge.rs
+++ b/crates/kernel/tests/merge.rs
@@ -95,8 +95,10 @@
         two in prop::collection::vec(any_row(), 0..40),
     ) {
         let (mut one, mut two) = (fill(&one), fill(&two));
-        let to_two = one.list_missing(two.sums(Scope::Hall), &two.list_marks(one.sums(Scope::Hall)), usize::MAX, 7);
-        let to_one = two.list_missing(one.sums(Scope::Hall), &one.list_marks(two.sums(Scope::Hall)), usize::MAX, 9);
+        let to_two =
+            one.list_missing(two.sums(Scope::Hall), &two.list_marks(one.sums(Scope::Hall)), usize::MAX, 7);
+        let to_one =
+            two.list_missing(one.sums(Scope::Hall), &one.list_marks(two.sums(Scope::Hall)), usize::MAX, 9);
         prop_assert!(to_two.iter().all(|row| two.get(&row.key).map(|held| &held.row) != Some(row)));
         to_two.into_iter().for_each(|row| { two.merge(row, Millis(0)); });
         to_one.into_iter().for_each(|row| { one.merge(row, Millis(0)); });
