--- a/crates/controller/src/domains.rs
+++ b/crates/controller/src/domains.rs
@@ -7,13 +7,13 @@
 
 use cottoncrank::budget::Purpose;
 use cottoncrank::config::Kind;
-use cottoncrank::decide::{Decision, Hold, View, list_orders, step};
+use cottoncrank::decide::{Decision, Hold, Input, decide_change, list_orders};
 use cottoncrank::domain::{self, Document};
 use cottoncrank::engine::{Order, OrderReply};
-use cottoncrank::evidence::{Evidence, gather};
-use cottoncrank::member::{Member, decider, live_in};
-use cottoncrank::row::{Body, Group, Key, Row, Whole};
-use cottoncrank::view::judge_group;
+use cottoncrank::evidence::{Evidence, gather_evidence};
+use cottoncrank::member::{Member, list_live, pick_decider};
+use cottoncrank::row::{Body, Group, Key, Readiness, Row};
+use cottoncrank::view::assess_group;
 use cottoncrank::{Millis, config, id, wire};
 use cottoncrank_net::store::{StoreError, Swap};
 use parking_lot::Mutex;
@@ -52,11 +52,11 @@
 /// The domains this node decides for. What it knew of others is forgotten.
 fn list_own(state: &State, config: &config::Document, members: &[Member]) -> Vec<id::Domain> {
     let hall = &state.settings.hall;
-    let live = live_in(members, hall);
+    let live = list_live(members, hall);
     let names = config.list_kind(Kind::Domain).filter_map(|(name, _)| name.parse::<id::Domain>().ok());
     let own: Vec<id::Domain> = names
         .filter(|domain| config.find_hall(domain) == Some(hall))
-        .filter(|domain| decider(domain, &live) == Some(&state.settings.node))
+        .filter(|domain| pick_decider(domain, &live) == Some(&state.settings.node))
         .collect();
     state.documents.lock().retain(|domain, _| own.contains(domain));
     state.holds.lock().retain(|domain, _| own.contains(domain));
@@ -73,17 +73,17 @@
     let Some(held) = fetch(state, domain).await else { return };
     let evidence = gather_domain(state, config, members, domain, &held.document);
     note_conditions(state, members, &held.document);
-    let view = View {
+    let view = Input {
         config,
         domain,
         document: &held.document,
         evidence: &evidence,
         nodes: count_nodes(state, members),
-        me: &state.settings.node,
+        decider: &state.settings.node,
         now: state.now(),
         proposal: state.next_proposal(),
     };
-    match step(&view) {
+    match decide_change(&view) {
         Decision::Change(next) => write(state, domain, held.revision, *next).await,
         Decision::Hold(holds) => {
             note_holds(state, domain, holds);
@@ -98,7 +98,9 @@
 fn count_nodes(state: &State, members: &[Member]) -> (usize, usize) {
     let of_hall = members.iter().filter(|member| member.node.hall == state.settings.hall);
     let live = of_hall.clone().filter(|member| member.live).count();
-    let lost = of_hall.filter(|m| m.lost.is_some_and(|since| state.now().since(since) < RECENT)).count();
+    let lost = of_hall
+        .filter(|m| m.unreachable_since.is_some_and(|since| state.now().since(since) < RECENT))
+        .count();
     (live, live + lost)
 }
 
@@ -114,7 +116,13 @@
     let placed = document.groups.values().flat_map(|group| &group.members);
     runners.extend(placed.map(|place| place.runner.clone()));
     runners.extend(document.quarantine.keys().cloned());
-    gather(&state.table.lock(), members, &state.settings.hall, runners.iter(), document.groups.keys())
+    gather_evidence(
+        &state.table.lock(),
+        members,
+        &state.settings.hall,
+        runners.iter(),
+        document.groups.keys(),
+    )
 }
 
 /// The document as this node holds it, read from the store the first time.
@@ -215,10 +223,10 @@
 
 /// Tells the other halls which groups of the domain may take work.
 fn note_conditions(state: &State, members: &[Member], document: &Document) {
-    let live = live_in(members, &state.settings.hall);
+    let live = list_live(members, &state.settings.hall);
     for (id, group) in &document.groups {
-        let condition = judge_group(&state.table.lock(), &live, id, group, state.now());
-        let whole = Whole { generation: group.generation, condition };
+        let condition = assess_group(&state.table.lock(), &live, id, group, state.now());
+        let whole = Readiness { generation: group.generation, condition };
         state.write(Key::Whole(id.clone()), Body::Whole(whole));
     }
 }
--- a/crates/controller/src/operate.rs
+++ b/crates/controller/src/operate.rs
@@ -7,7 +7,7 @@
 use cottoncrank::config::{self, Entry, KEY, Kind};
 use cottoncrank::domain::{Document, Event, Phase, join_names};
 use cottoncrank::evidence::gather_runner;
-use cottoncrank::member::live_in;
+use cottoncrank::member::list_live;
 use cottoncrank::row::{Body, Group, Key};
 use cottoncrank::view::Condition;
 use cottoncrank::wire::{Reply, Table};
@@ -253,7 +253,7 @@
         if *hall != state.settings.hall {
             continue;
         }
-        let known = gather_runner(&rows, &live_in(&members, hall), &runner);
+        let known = gather_runner(&rows, &list_live(&members, hall), &runner);
         let role = known.seen.as_ref().and_then(|seen| seen.role.clone());
         let mut notes = Vec::new();
         if *drained {
@@ -269,7 +269,7 @@
             name.to_owned(),
             domain.to_string(),
             role.as_ref().map_or("-".to_owned(), |role| role.group.to_string()),
-            if known.answers(state.now()) { "yes" } else { "no" }.to_owned(),
+            if known.is_reachable(state.now()) { "yes" } else { "no" }.to_owned(),
             known.seen.as_ref().map_or("-".to_owned(), |seen| format!("{:?}", seen.stage).to_lowercase()),
             role.as_ref().map_or("-".to_owned(), |role| role.generation.to_string()),
             (known.reached.len() + known.missed.len()).to_string(),
--- a/crates/kernel/benches/decisions.rs
+++ b/crates/kernel/benches/decisions.rs
@@ -1,17 +1,17 @@
-//! The decisions that a controller takes again and again, at the size of one
-//! hall of the target fleet: 350 nodes in 5 halls, 120 runners and 4 groups of
-//! 28 in a hall of one fabric domain.
+//! The recurring decisions of a controller at the size of one hall of the target
+//! fleet: 350 nodes in 5 halls, and 120 runners and 4 groups of 28 in the hall's one
+//! fabric domain.
 
 use std::hint::black_box;
 
 use cottoncrank::Millis;
 use cottoncrank::config::{self, Entry, Fence, Key as Name, Kind};
-use cottoncrank::decide::{View, step};
+use cottoncrank::decide::{Input, decide_change};
 use cottoncrank::domain::{Document, Group, Phase, Placement};
 use cottoncrank::engine::{Role, Stage};
-use cottoncrank::evidence::gather;
+use cottoncrank::evidence::gather_evidence;
 use cottoncrank::id::{self, Generation, Incarnation, Proposal, Revision};
-use cottoncrank::member::{list_members, live_in, watchers};
+use cottoncrank::member::{list_live, list_members, pick_watchers};
 use cottoncrank::row::{self, Body, Key};
 use cottoncrank::table::{Scope, Table};
 use cottoncrank::view::derive_view;
@@ -82,14 +82,14 @@
         hall.table.write(Key::Group(id.clone()), Body::Group(Some(body)), NOW);
     }
     let members = list_members(&hall.table, NOW);
-    let live = live_in(&members, &hall.name);
+    let live = list_live(&members, &hall.name);
     for (n, runner) in hall.runners.iter().enumerate() {
         let role = hall.document.find_group(runner).map(|(id, group)| Role {
             group: id.clone(),
             generation: group.generation,
             rank: (n % SIZE) as u16,
         });
-        let seen = row::Seen {
+        let seen = row::Observation {
             answers: true,
             incarnation: Incarnation(1),
             fence: Generation(4),
@@ -97,7 +97,7 @@
             role,
             warm: None,
         };
-        for by in watchers(runner, &live) {
+        for by in pick_watchers(runner, &live) {
             let key = Key::Seen { runner: runner.clone(), by: by.clone() };
             hall.table.write(key, Body::Seen(seen.clone()), NOW);
         }
@@ -111,24 +111,24 @@
     let view = || derive_view(&hall.config, &hall.table, &members, &hall.name, NOW);
     assert!(view().groups.iter().all(|g| g.condition == cottoncrank::view::Condition::Open));
     criterion.bench_function("derive the view of 4 groups of 28", |b| b.iter(|| black_box(view())));
-    let me: id::Node = "node-0".parse().unwrap();
+    let decider: id::Node = "node-0".parse().unwrap();
     let decide = || {
         let groups = hall.document.groups.keys();
-        let evidence = gather(&hall.table, &members, &hall.name, hall.runners.iter(), groups);
-        step(&View {
+        let evidence = gather_evidence(&hall.table, &members, &hall.name, hall.runners.iter(), groups);
+        decide_change(&Input {
             config: &hall.config,
             domain: &hall.domain,
             document: &hall.document,
             evidence: &evidence,
             nodes: (70, 70),
-            me: &me,
+            decider: &decider,
             now: NOW,
             proposal: Proposal(1),
         })
     };
     criterion.bench_function("decide for a domain of 120 runners", |b| b.iter(|| black_box(decide())));
     criterion.bench_function("compare a whole table", |b| {
-        b.iter(|| black_box(hall.table.lacking(&[1; 32], &[], usize::MAX, 0)).len());
+        b.iter(|| black_box(hall.table.list_missing(&[1; 32], &[], usize::MAX, 0)).len());
     });
     criterion.bench_function("one checksum", |b| b.iter(|| black_box(hall.table.total(Scope::Hall))));
 }
--- a/crates/kernel/src/claim.rs
+++ b/crates/kernel/src/claim.rs
@@ -10,7 +10,7 @@
 use crate::hash::pick_owners;
 use crate::id;
 use crate::view;
-use crate::wire::{Claimed, Recorded};
+use crate::wire::{ClaimReply, KeyedOutcome};
 
 /// The decision whether a request with a key may run.
 #[derive(Clone, Debug, PartialEq)]
@@ -20,7 +20,7 @@
     /// Another request with this key is in flight.
     Running,
     /// Another request with this key has finished.
-    Done(Recorded),
+    Done(KeyedOutcome),
     /// It is unknown whether a request with this key has run before.
     Unsure,
 }
@@ -32,16 +32,16 @@
 /// only if an owner that replied has been a node of the hall for at least [`KEY_TTL`]. A hall
 /// without such a node has just been started; there, all owners have to reply.
 pub fn resolve_claims(
-    owners: &[(&view::Node, Option<Claimed>)],
+    owners: &[(&view::Node, Option<ClaimReply>)],
     nodes: &[view::Node],
     now: Millis,
 ) -> Verdict {
     let mut running = false;
     for (_, claimed) in owners {
         match claimed {
-            Some(Claimed::Done(recorded)) => return Verdict::Done(recorded.clone()),
-            Some(Claimed::Running) => running = true,
-            Some(Claimed::First | Claimed::Noted) | None => {}
+            Some(ClaimReply::Done(recorded)) => return Verdict::Done(recorded.clone()),
+            Some(ClaimReply::Running) => running = true,
+            Some(ClaimReply::First | ClaimReply::Noted) | None => {}
         }
     }
     if running {
@@ -69,7 +69,7 @@
 #[derive(Clone, Debug)]
 struct Claim {
     request: id::Request,
-    recorded: Option<Recorded>,
+    recorded: Option<KeyedOutcome>,
     expires: Millis,
 }
 
@@ -81,12 +81,18 @@
 
 impl Claims {
     /// Claims the key for `request` if it is free. The same request may claim it again.
-    pub fn open(&mut self, account: &id::Account, key: &str, request: id::Request, now: Millis) -> Claimed {
+    pub fn open(
+        &mut self,
+        account: &id::Account,
+        key: &str,
+        request: id::Request,
+        now: Millis,
+    ) -> ClaimReply {
         let index = (account.clone(), key.to_owned());
         if self.claims.len() >= MAX_KEYS && !self.claims.contains_key(&index) {
             self.evict_expired(now);
             if self.claims.len() >= MAX_KEYS {
-                return Claimed::Running;
+                return ClaimReply::Running;
             }
         }
         let new_claim = Claim { request, recorded: None, expires: now + KEY_TTL };
@@ -95,9 +101,9 @@
             *claim = new_claim;
         }
         match &claim.recorded {
-            _ if claim.request == request => Claimed::First,
-            Some(recorded) => Claimed::Done(recorded.clone()),
-            None => Claimed::Running,
+            _ if claim.request == request => ClaimReply::First,
+            Some(recorded) => ClaimReply::Done(recorded.clone()),
+            None => ClaimReply::Running,
         }
     }
 
@@ -107,11 +113,11 @@
         account: &id::Account,
         key: &str,
         request: id::Request,
-        outcome: Recorded,
+        outcome: KeyedOutcome,
         now: Millis,
     ) {
         let index = (account.clone(), key.to_owned());
-        if outcome == Recorded::NotRun {
+        if outcome == KeyedOutcome::NotRun {
             if self.claims.get(&index).is_some_and(|claim| claim.request == request) {
                 self.claims.remove(&index);
             }
@@ -159,10 +165,10 @@
     fn only_the_first_request_gets_the_key() {
         let mut claims = Claims::default();
         let (one, two) = (id::Request(1), id::Request(2));
-        assert_eq!(claims.open(&account(), "k", one, Millis(0)), Claimed::First);
-        assert_eq!(claims.open(&account(), "k", two, Millis(1)), Claimed::Running);
-        claims.close(&account(), "k", one, Recorded::MayHaveRun, Millis(2));
-        assert_eq!(claims.open(&account(), "k", two, Millis(3)), Claimed::Done(Recorded::MayHaveRun));
+        assert_eq!(claims.open(&account(), "k", one, Millis(0)), ClaimReply::First);
+        assert_eq!(claims.open(&account(), "k", two, Millis(1)), ClaimReply::Running);
+        claims.close(&account(), "k", one, KeyedOutcome::MayHaveRun, Millis(2));
+        assert_eq!(claims.open(&account(), "k", two, Millis(3)), ClaimReply::Done(KeyedOutcome::MayHaveRun));
     }
 
     #[test]
@@ -170,17 +176,17 @@
         let mut claims = Claims::default();
         let (one, two) = (id::Request(1), id::Request(2));
         claims.open(&account(), "k", one, Millis(0));
-        claims.close(&account(), "k", two, Recorded::NotRun, Millis(1));
-        assert_eq!(claims.open(&account(), "k", two, Millis(2)), Claimed::Running);
-        claims.close(&account(), "k", one, Recorded::NotRun, Millis(3));
-        assert_eq!(claims.open(&account(), "k", two, Millis(4)), Claimed::First);
+        claims.close(&account(), "k", two, KeyedOutcome::NotRun, Millis(1));
+        assert_eq!(claims.open(&account(), "k", two, Millis(2)), ClaimReply::Running);
+        claims.close(&account(), "k", one, KeyedOutcome::NotRun, Millis(3));
+        assert_eq!(claims.open(&account(), "k", two, Millis(4)), ClaimReply::First);
     }
 
     #[test]
     fn keys_expire_after_the_ttl() {
         let mut claims = Claims::default();
         claims.open(&account(), "k", id::Request(1), Millis(0));
-        assert_eq!(claims.open(&account(), "k", id::Request(2), KEY_TTL), Claimed::First);
+        assert_eq!(claims.open(&account(), "k", id::Request(2), KEY_TTL), ClaimReply::First);
         claims.evict_expired(KEY_TTL + KEY_TTL);
         assert!(claims.is_empty());
     }
@@ -198,12 +204,12 @@
         let now = Millis(10_000_000);
         let (old, old_too, young) = (node(0, 0), node(1, 0), node(2, now.0 - 5));
         let nodes = [old.clone(), old_too.clone(), young.clone()];
-        let first = || Some(Claimed::First);
+        let first = || Some(ClaimReply::First);
         assert_eq!(resolve_claims(&[(&old, first()), (&young, first())], &nodes, now), Verdict::Run);
         assert_eq!(resolve_claims(&[(&old, None), (&young, first())], &nodes, now), Verdict::Unsure);
         assert_eq!(resolve_claims(&[(&old, first()), (&old_too, None)], &nodes, now), Verdict::Run);
         assert_eq!(
-            resolve_claims(&[(&old, first()), (&young, Some(Claimed::Running))], &nodes, now),
+            resolve_claims(&[(&old, first()), (&young, Some(ClaimReply::Running))], &nodes, now),
             Verdict::Running
         );
         let fresh = [young.clone(), node(3, now.0)];
--- a/crates/kernel/src/decide.rs
+++ b/crates/kernel/src/decide.rs
@@ -1,10 +1,11 @@
-//! What to do next in one fabric domain: pure decisions.
+//! Plans the groups of one fabric domain as pure functions.
 //!
-//! [`step`] looks at the configuration, the domain's document and the evidence
-//! and returns the next document, one change at a time, or why it holds.
-//! [`list_orders`] says what the runners have to be told so that they match the
-//! document. Two nodes may both decide: the store's compare-and-swap lets one
-//! document win, and the generations in it fence what the other one ordered.
+//! [`decide_change`] takes the configuration, the domain's document and the
+//! evidence, and returns the next document (one change at a time) or the reasons
+//! for making no change. [`list_orders`] returns the orders that bring the runners
+//! in line with the document. Two nodes may decide at the same time: the store's
+//! compare-and-swap accepts only one document, and the generations in it fence the
+//! orders of the other node.
 
 use std::net::SocketAddr;
 
@@ -15,52 +16,52 @@
 use crate::evidence::{Evidence, Runner};
 use crate::id;
 
-/// How long after the drain of a group its requests in flight are trusted to
-/// be all there are: every entry refuses to work on a view older than
-/// [`crate::view::STALE`], which is shorter.
+/// How long to wait after the drain of a group before its count of in-flight
+/// requests is taken as complete. It is longer than [`crate::view::VIEW_TTL`], after
+/// which an entry sends no requests by an old view, so no entry still adds any.
 pub const DRAIN_WAIT: Millis = Millis(4000);
 
-/// Everything a decision rests on.
+/// The input of a decision.
 #[derive(Clone, Copy, Debug)]
-pub struct View<'a> {
+pub struct Input<'a> {
     /// The configuration in force.
     pub config: &'a config::Document,
     /// The domain.
     pub domain: &'a id::Domain,
-    /// Its document as last read.
+    /// The domain's document as last read.
     pub document: &'a Document,
-    /// What is known of its runners.
+    /// The evidence about the domain's runners and groups.
     pub evidence: &'a Evidence,
-    /// Live nodes of the hall, and nodes it ought to have.
+    /// The number of live nodes of the hall, and of these together with the recently lost ones.
     pub nodes: (usize, usize),
-    /// The node that decides.
-    pub me: &'a id::Node,
+    /// The node that makes the decision.
+    pub decider: &'a id::Node,
     /// The present time.
     pub now: Millis,
-    /// The mark of the write that may follow.
+    /// The proposal id for the write that may follow.
     pub proposal: id::Proposal,
 }
 
-/// The outcome of a step.
+/// The outcome of [`decide_change`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Decision {
     /// Write this document.
     Change(Box<Document>),
-    /// Leave it; the groups that are not as configured, and why.
+    /// Make no change; lists the groups that are not as configured.
     Hold(Vec<Hold>),
 }
 
-/// Why a group stays as it is although it is not as configured.
+/// A group that is left as it is although it is not as configured.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Hold {
     /// The group.
     pub group: id::Group,
-    /// The ways there would be and why none is taken.
+    /// The possible actions, each with the reason why it is not taken.
     pub passed: Vec<Alternative>,
 }
 
-/// A runner as the configuration gives it.
-struct Given<'a> {
+/// A runner as configured, with the evidence about it.
+struct ConfiguredRunner<'a> {
     address: SocketAddr,
     fence: Fence,
     drained: bool,
@@ -68,162 +69,180 @@
 }
 
 /// Decides the next change of the domain.
-pub fn step(view: &View) -> Decision {
-    let ways: [fn(&View) -> Option<Document>; 6] =
-        [unquarantine, retire, finish_drain, repair, drain_leaving, form];
-    if is_blind(view) {
-        return Decision::Hold(explain_holds(view));
+pub fn decide_change(input: &Input) -> Decision {
+    let steps: [fn(&Input) -> Option<Document>; 6] =
+        [unquarantine, drain_unconfigured, finish_drain, repair, drain_leaving, form];
+    if is_partitioned(input) {
+        return Decision::Hold(explain_holds(input));
     }
-    match ways.iter().find_map(|way| way(view)) {
+    match steps.iter().find_map(|step| step(input)) {
         Some(mut document) => {
-            document.proposal = view.proposal;
+            document.proposal = input.proposal;
             Decision::Change(Box::new(document))
         }
-        None => Decision::Hold(explain_holds(view)),
+        None => Decision::Hold(explain_holds(input)),
     }
 }
 
-/// More than half of the hall's nodes are gone: rather we are cut off than they.
-fn is_blind(view: &View) -> bool {
-    let (live, known) = view.nodes;
+/// Whether more than half of the hall's nodes are missing. Then it is more likely that
+/// this node is cut off than that they have all failed, so it must not act.
+fn is_partitioned(input: &Input) -> bool {
+    let (live, known) = input.nodes;
     live * 2 < known
 }
 
-fn given<'a>(view: &View<'a>, runner: &id::Runner) -> Option<Given<'a>> {
-    match view.config.get(&config::Key::new(Kind::Runner, runner))? {
-        Entry::Runner { domain, address, fence, drained } if domain == view.domain => Some(Given {
-            address: *address,
-            fence: *fence,
-            drained: *drained,
-            known: view.evidence.runners.get(runner),
-        }),
+fn find_configured_runner<'a>(input: &Input<'a>, runner: &id::Runner) -> Option<ConfiguredRunner<'a>> {
+    match input.config.get(&config::Key::new(Kind::Runner, runner))? {
+        Entry::Runner { domain, address, fence, drained } if domain == input.domain => {
+            Some(ConfiguredRunner {
+                address: *address,
+                fence: *fence,
+                drained: *drained,
+                known: input.evidence.runners.get(runner),
+            })
+        }
         _ => None,
     }
 }
 
-/// Runners that may take a place now, warm ones for `model` first.
-fn list_spares(view: &View, model: &id::Model) -> Vec<Placement> {
+/// Lists the runners that can join a group now, those with warm weights for `model` first.
+fn list_spares(input: &Input, model: &id::Model) -> Vec<Placement> {
     let mut spares: Vec<(bool, Placement)> = Vec::new();
-    for (name, _) in view.config.list_kind(Kind::Runner) {
+    for (name, _) in input.config.list_kind(Kind::Runner) {
         let Ok(runner) = name.parse::<id::Runner>() else { continue };
-        if view.document.find_group(&runner).is_some() || view.document.quarantine.contains_key(&runner) {
+        if input.document.find_group(&runner).is_some() || input.document.quarantine.contains_key(&runner) {
             continue;
         }
-        let Some(place) = usable(view, &runner) else { continue };
-        let warm = view.evidence.of(&runner).seen.is_some_and(|seen| seen.warm.as_ref() == Some(model));
+        let Some(place) = find_usable_place(input, &runner) else { continue };
+        let warm =
+            input.evidence.get_runner(&runner).seen.is_some_and(|seen| seen.warm.as_ref() == Some(model));
         spares.push((!warm, place));
     }
     spares.sort();
     spares.into_iter().map(|(_, place)| place).collect()
 }
 
-/// The place that the runner could take in its present life.
-fn usable(view: &View, runner: &id::Runner) -> Option<Placement> {
-    let given = given(view, runner)?;
-    let known = given.known?;
-    if given.drained || known.is_leaving() || !known.answers(view.now) {
+/// Returns a place for the runner in its current incarnation, if it is usable.
+fn find_usable_place(input: &Input, runner: &id::Runner) -> Option<Placement> {
+    let configured = find_configured_runner(input, runner)?;
+    let known = configured.known?;
+    if configured.drained || known.is_leaving() || !known.is_reachable(input.now) {
         return None;
     }
     let incarnation = known.seen.as_ref()?.incarnation;
     Some(Placement { runner: runner.clone(), incarnation })
 }
 
-fn is_leaving(view: &View, runner: &id::Runner) -> bool {
-    match given(view, runner) {
-        Some(given) => given.drained || given.known.is_some_and(Runner::is_leaving),
+fn is_leaving(input: &Input, runner: &id::Runner) -> bool {
+    match find_configured_runner(input, runner) {
+        Some(configured) => configured.drained || configured.known.is_some_and(Runner::is_leaving),
         None => true,
     }
 }
 
-fn wanted<'a>(view: &View<'a>, group: &id::Group) -> Option<(&'a id::Model, usize)> {
-    match view.config.get(&config::Key::new(Kind::Group, group))? {
-        Entry::Group { domain, model, size, .. } if domain == view.domain => {
+fn find_configured_group<'a>(input: &Input<'a>, group: &id::Group) -> Option<(&'a id::Model, usize)> {
+    match input.config.get(&config::Key::new(Kind::Group, group))? {
+        Entry::Group { domain, model, size, .. } if domain == input.domain => {
             Some((model, usize::from(*size)))
         }
         _ => None,
     }
 }
 
-fn event(view: &View, group: &id::Group, action: Action, cause: Cause, passed: Vec<Alternative>) -> Event {
+fn build_event(
+    input: &Input,
+    group: &id::Group,
+    action: Action,
+    cause: Cause,
+    passed: Vec<Alternative>,
+) -> Event {
     Event {
-        at: view.now,
-        by: view.me.clone(),
+        at: input.now,
+        by: input.decider.clone(),
         group: group.clone(),
-        generation: view.document.generation.next(),
+        generation: input.document.generation.next(),
         action,
         cause,
         passed,
     }
 }
 
-/// Puts runners that check no fence aside until their old role is seen ended.
-fn quarantine(view: &View, document: &mut Document, runners: impl IntoIterator<Item = id::Runner>) {
+/// Quarantines those of `runners` that do not check fences. They could still hold
+/// their old role, so they stay in quarantine until they report no role.
+fn quarantine_unfenced(
+    input: &Input,
+    document: &mut Document,
+    runners: impl IntoIterator<Item = id::Runner>,
+) {
     for runner in runners {
-        if given(view, &runner).is_some_and(|given| given.fence == Fence::Unchecked) {
+        if find_configured_runner(input, &runner)
+            .is_some_and(|configured| configured.fence == Fence::Unchecked)
+        {
             let generation = document.generation;
             document.quarantine.insert(runner, Quarantine { generation });
         }
     }
 }
 
-/// Lets a runner out of quarantine once it answers and holds no role.
-fn unquarantine(view: &View) -> Option<Document> {
-    let free = view.document.quarantine.keys().find(|runner| {
-        let known = view.evidence.of(runner);
-        let gone = given(view, runner).is_none();
-        gone || (known.answers(view.now) && known.seen.is_some_and(|seen| seen.role.is_none()))
+/// Ends the quarantine of a runner that answers and holds no role, or is no longer configured.
+fn unquarantine(input: &Input) -> Option<Document> {
+    let free = input.document.quarantine.keys().find(|runner| {
+        let known = input.evidence.get_runner(runner);
+        let gone = find_configured_runner(input, runner).is_none();
+        gone || (known.is_reachable(input.now) && known.seen.is_some_and(|seen| seen.role.is_none()))
     })?;
-    let mut document = view.document.clone();
+    let mut document = input.document.clone();
     document.quarantine.remove(free);
     Some(document)
 }
 
-/// Drains a group that is no longer configured as it is.
-fn retire(view: &View) -> Option<Document> {
-    let (name, _) = view.document.groups.iter().find(|(name, group)| {
-        let kept = wanted(view, name)
+/// Drains a group whose model or size differs from the configuration, or that is not configured.
+fn drain_unconfigured(input: &Input) -> Option<Document> {
+    let (name, _) = input.document.groups.iter().find(|(name, group)| {
+        let kept = find_configured_group(input, name)
             .is_some_and(|(model, size)| *model == group.model && size == group.members.len());
         group.phase == Phase::Serve && !kept
     })?;
-    let cause = Cause::Configured(view.config.revision);
-    Some(drain(view, name, cause))
+    let cause = Cause::Configured(input.config.revision);
+    Some(drain(input, name, cause))
 }
 
 /// Drains a group with a member that is leaving.
-fn drain_leaving(view: &View) -> Option<Document> {
-    let serving = view.document.groups.iter().filter(|(_, group)| group.phase == Phase::Serve);
+fn drain_leaving(input: &Input) -> Option<Document> {
+    let serving = input.document.groups.iter().filter(|(_, group)| group.phase == Phase::Serve);
     let (name, leaving) = serving
         .filter_map(|(name, group)| {
-            let leaving = group.members.iter().find(|place| is_leaving(view, &place.runner))?;
+            let leaving = group.members.iter().find(|place| is_leaving(input, &place.runner))?;
             Some((name, leaving.runner.clone()))
         })
         .next()?;
-    Some(drain(view, name, Cause::Leaving(leaving)))
+    Some(drain(input, name, Cause::Leaving(leaving)))
 }
 
-fn drain(view: &View, name: &id::Group, cause: Cause) -> Document {
-    let mut document = view.document.clone();
+fn drain(input: &Input, name: &id::Group, cause: Cause) -> Document {
+    let mut document = input.document.clone();
     if let Some(group) = document.groups.get_mut(name) {
         group.phase = Phase::Drain;
     }
-    document.record_event(event(view, name, Action::Drain, cause, Vec::new()));
+    document.record_event(build_event(input, name, Action::Drain, cause, Vec::new()));
     document
 }
 
-/// Takes a drained group apart once nothing is in flight.
-fn finish_drain(view: &View) -> Option<Document> {
-    let (name, _) = view
+/// Dissolves a draining group once nothing is in flight.
+fn finish_drain(input: &Input) -> Option<Document> {
+    let (name, _) = input
         .document
         .groups
         .iter()
-        .find(|(name, group)| group.phase == Phase::Drain && is_empty(view, name, group))?;
-    Some(dissolve(view, name, Cause::Drained, Vec::new()))
+        .find(|(name, group)| group.phase == Phase::Drain && is_drained(input, name, group))?;
+    Some(dissolve(input, name, Cause::Drained, Vec::new()))
 }
 
-/// Nothing is in flight in a draining group, or nothing can be any more.
-fn is_empty(view: &View, name: &id::Group, group: &Group) -> bool {
-    let lost = group.members.iter().any(|place| is_lost(&view.evidence.of(&place.runner), place));
-    let drains = view.document.events.iter().rev();
+/// Whether a draining group has no request in flight, or has lost a member and with it
+/// all its requests.
+fn is_drained(input: &Input, name: &id::Group, group: &Group) -> bool {
+    let lost = group.members.iter().any(|place| is_lost(&input.evidence.get_runner(&place.runner), place));
+    let drains = input.document.events.iter().rev();
     let Some(drained) = drains.into_iter().find(|e| e.group == *name && e.action == Action::Drain) else {
         return lost;
     };
@@ -231,59 +250,60 @@
         return true;
     }
     let settled = drained.at + DRAIN_WAIT;
-    let load = view.evidence.loads.get(name);
-    view.now >= settled
+    let load = input.evidence.loads.get(name);
+    input.now >= settled
         && load.is_some_and(|(load, at)| {
             load.generation == group.generation && load.running == 0 && *at >= settled
         })
 }
 
-fn dissolve(view: &View, name: &id::Group, cause: Cause, passed: Vec<Alternative>) -> Document {
-    let mut document = view.document.clone();
+fn dissolve(input: &Input, name: &id::Group, cause: Cause, passed: Vec<Alternative>) -> Document {
+    let mut document = input.document.clone();
     document.generation = document.generation.next();
-    document.record_event(event(view, name, Action::Dissolve, cause, passed));
+    document.record_event(build_event(input, name, Action::Dissolve, cause, passed));
     if let Some(group) = document.groups.remove(name) {
-        quarantine(view, &mut document, group.members.into_iter().map(|place| place.runner));
+        quarantine_unfenced(input, &mut document, group.members.into_iter().map(|place| place.runner));
     }
     document
 }
 
 fn is_lost(known: &Runner, place: &Placement) -> bool {
-    known.is_missing() || known.is_reborn(place)
+    known.is_missing() || known.has_restarted(place)
 }
 
-/// Mends the first group that lost a member.
-fn repair(view: &View) -> Option<Document> {
-    let groups = view.document.groups.iter().filter(|(_, group)| group.phase == Phase::Serve);
-    groups.filter_map(|(name, group)| repair_group(view, name, group)).next()
+/// Repairs the first group that lost a member.
+fn repair(input: &Input) -> Option<Document> {
+    let groups = input.document.groups.iter().filter(|(_, group)| group.phase == Phase::Serve);
+    groups.filter_map(|(name, group)| repair_group(input, name, group)).next()
 }
 
-fn repair_group(view: &View, name: &id::Group, group: &Group) -> Option<Document> {
-    let lost = group.members.iter().position(|place| is_lost(&view.evidence.of(&place.runner), place))?;
+fn repair_group(input: &Input, name: &id::Group, group: &Group) -> Option<Document> {
+    let lost =
+        group.members.iter().position(|place| is_lost(&input.evidence.get_runner(&place.runner), place))?;
     let place = &group.members[lost];
-    let known = view.evidence.of(&place.runner);
+    let known = input.evidence.get_runner(&place.runner);
     if !known.is_missing() {
-        return Some(reload(view, name, group));
+        return Some(reload(input, name, group));
     }
-    let cause = Cause::Missing { runner: place.runner.clone(), witnesses: known.witnesses() };
-    let spares = list_spares(view, &group.model);
+    let cause = Cause::Missing { runner: place.runner.clone(), witnesses: known.list_witnesses() };
+    let spares = list_spares(input, &group.model);
     match spares.first() {
-        Some(spare) => Some(replace(view, name, lost, spare, cause, &spares[1..])),
-        None => give_up(view, name, cause),
+        Some(spare) => Some(replace(input, name, lost, spare, cause, &spares[1..])),
+        None => dissolve_to_repair_another(input, name, cause),
     }
 }
 
-/// Puts a spare into the place of a missing member. Every member takes the new
-/// generation, for a replica does not outlive the loss of one.
+/// Replaces a missing member by a spare. Every member gets the new generation, because
+/// a replica does not survive the loss of one member.
 fn replace(
-    view: &View,
+    input: &Input,
     name: &id::Group,
     lost: usize,
     spare: &Placement,
     cause: Cause,
     others: &[Placement],
 ) -> Document {
-    let mut document = view.document.clone();
+    let mut document = input.document.clone();
     document.generation = document.generation.next();
     let generation = document.generation;
     let mut passed: Vec<Alternative> = others
@@ -301,86 +321,87 @@
     let mut out = None;
     if let Some(group) = document.groups.get_mut(name) {
         group.generation = generation;
-        refresh(view, &mut group.members);
+        update_incarnations(input, &mut group.members);
         out = Some(std::mem::replace(&mut group.members[lost], spare.clone()).runner);
     }
     if let Some(out) = out {
         let action = Action::Replace { out: out.clone(), into: spare.runner.clone() };
-        document.record_event(event(view, name, action, cause, passed));
-        quarantine(view, &mut document, [out]);
+        document.record_event(build_event(input, name, action, cause, passed));
+        quarantine_unfenced(input, &mut document, [out]);
     }
     document
 }
 
-/// Gives every place to the present life of its runner.
-fn refresh(view: &View, members: &mut [Placement]) {
+/// Sets every place to the newest known incarnation of its runner.
+fn update_incarnations(input: &Input, members: &mut [Placement]) {
     for place in members {
-        if let Some(seen) = view.evidence.of(&place.runner).seen {
+        if let Some(seen) = input.evidence.get_runner(&place.runner).seen {
             place.incarnation = place.incarnation.max(seen.incarnation);
         }
     }
 }
 
-/// Lets the same members load again under a new generation.
-fn reload(view: &View, name: &id::Group, group: &Group) -> Document {
-    let mut document = view.document.clone();
+/// Lets the same members load the model again under a new generation.
+fn reload(input: &Input, name: &id::Group, group: &Group) -> Document {
+    let mut document = input.document.clone();
     document.generation = document.generation.next();
     let generation = document.generation;
-    let reborn = group.members.iter().find(|place| view.evidence.of(&place.runner).is_reborn(place));
+    let restarted =
+        group.members.iter().find(|place| input.evidence.get_runner(&place.runner).has_restarted(place));
     if let Some(group) = document.groups.get_mut(name) {
         group.generation = generation;
-        refresh(view, &mut group.members);
+        update_incarnations(input, &mut group.members);
     }
-    if let Some(reborn) = reborn {
+    if let Some(restarted) = restarted {
         let passed = vec![Alternative {
             option: "replace the member".to_owned(),
             reason: "it answers again, and the others are warm".to_owned(),
         }];
-        let cause = Cause::Restarted(reborn.runner.clone());
-        document.record_event(event(view, name, Action::Reload, cause, passed));
+        let cause = Cause::Restarted(restarted.runner.clone());
+        document.record_event(build_event(input, name, Action::Reload, cause, passed));
     }
     document
 }
 
-/// Without a spare, a broken group is taken apart only if that makes another
-/// broken one whole; else its members stay and wait.
-fn give_up(view: &View, name: &id::Group, cause: Cause) -> Option<Document> {
-    let broken = |group: &Group| {
-        group.members.iter().filter(|place| view.evidence.of(&place.runner).is_missing()).count()
+/// Dissolves a broken group for which there is no spare, but only if its members can
+/// complete another broken group. Otherwise the members stay and wait.
+fn dissolve_to_repair_another(input: &Input, name: &id::Group, cause: Cause) -> Option<Document> {
+    let count_missing = |group: &Group| {
+        group.members.iter().filter(|place| input.evidence.get_runner(&place.runner).is_missing()).count()
     };
-    let mine = broken(view.document.groups.get(name)?);
-    let others = view.document.groups.iter().filter(|(other, _)| *other != name);
-    let rescued = others.filter(|(_, group)| group.phase == Phase::Serve).find(|(other, group)| {
-        let theirs = broken(group);
-        // The group that lost less stays; of two equals the one first by name.
-        theirs > 0 && (theirs, *other) < (mine, name) && group.members.len() > theirs
+    let missing = count_missing(input.document.groups.get(name)?);
+    let others = input.document.groups.iter().filter(|(other, _)| *other != name);
+    let repaired = others.filter(|(_, group)| group.phase == Phase::Serve).find(|(other, group)| {
+        let other_missing = count_missing(group);
+        // The group that lost fewer members stays; between equals, the first by name.
+        other_missing > 0 && (other_missing, *other) < (missing, name) && group.members.len() > other_missing
     });
-    let (rescued, _) = rescued?;
+    let (repaired, _) = repaired?;
     let passed = vec![Alternative {
         option: "wait for the member to come back".to_owned(),
-        reason: format!("there is no spare, and the others make {rescued} whole"),
+        reason: format!("there is no spare, and the others make {repaired} whole"),
     }];
-    Some(dissolve(view, name, cause, passed))
+    Some(dissolve(input, name, cause, passed))
 }
 
-/// Forms the first configured group that is not there, if there are runners for it.
-fn form(view: &View) -> Option<Document> {
-    view.config.list_kind(Kind::Group).find_map(|(name, _)| {
+/// Forms the first configured group that does not exist and for which there are enough runners.
+fn form(input: &Input) -> Option<Document> {
+    input.config.list_kind(Kind::Group).find_map(|(name, _)| {
         let name: id::Group = name.parse().ok()?;
-        let (model, size) = wanted(view, &name)?;
-        if view.document.groups.contains_key(&name) {
+        let (model, size) = find_configured_group(input, &name)?;
+        if input.document.groups.contains_key(&name) {
             return None;
         }
-        let spares = list_spares(view, model);
+        let spares = list_spares(input, model);
         if spares.len() < size {
             return None;
         }
         let members = spares[..size].to_vec();
-        let mut document = view.document.clone();
+        let mut document = input.document.clone();
         document.generation = document.generation.next();
         let names = members.iter().map(|place| place.runner.clone()).collect();
-        let cause = Cause::Configured(view.config.revision);
-        document.record_event(event(view, &name, Action::Form(names), cause, Vec::new()));
+        let cause = Cause::Configured(input.config.revision);
+        document.record_event(build_event(input, &name, Action::Form(names), cause, Vec::new()));
         let generation = document.generation;
         let group = Group { generation, model: model.clone(), members, phase: Phase::Serve };
         document.groups.insert(name, group);
@@ -388,33 +409,33 @@
     })
 }
 
-/// The groups that are not whole, with the ways and why they are not taken.
-fn explain_holds(view: &View) -> Vec<Hold> {
-    let names = view.config.list_kind(Kind::Group).filter_map(|(name, _)| name.parse::<id::Group>().ok());
-    names.filter_map(|name| explain_hold(view, &name)).collect()
+/// Lists the configured groups that are not complete, with the reasons.
+fn explain_holds(input: &Input) -> Vec<Hold> {
+    let names = input.config.list_kind(Kind::Group).filter_map(|(name, _)| name.parse::<id::Group>().ok());
+    names.filter_map(|name| explain_hold(input, &name)).collect()
 }
 
-fn explain_hold(view: &View, name: &id::Group) -> Option<Hold> {
-    let (model, size) = wanted(view, name)?;
-    let spares = list_spares(view, model).len();
+fn explain_hold(input: &Input, name: &id::Group) -> Option<Hold> {
+    let (model, size) = find_configured_group(input, name)?;
+    let spares = list_spares(input, model).len();
     let hold = |option: &str, reason: String| {
         let passed = vec![Alternative { option: option.to_owned(), reason }];
         Some(Hold { group: name.clone(), passed })
     };
-    if is_blind(view) {
-        let (live, known) = view.nodes;
+    if is_partitioned(input) {
+        let (live, known) = input.nodes;
         return hold(
             "any change",
             format!("only {live} of {known} nodes of the hall are in reach: we may be cut off"),
         );
     }
-    let Some(group) = view.document.groups.get(name) else {
+    let Some(group) = input.document.groups.get(name) else {
         return hold("form", format!("needs {size} runners, {spares} are free and answer"));
     };
     let lost: Vec<&id::Runner> = group
         .members
         .iter()
-        .filter(|place| is_lost(&view.evidence.of(&place.runner), place))
+        .filter(|place| is_lost(&input.evidence.get_runner(&place.runner), place))
         .map(|place| &place.runner)
         .collect();
     if !lost.is_empty() {
@@ -427,18 +448,21 @@
     None
 }
 
-/// What the runners have to be told so that they match the document.
+/// Lists the orders that bring the runners in line with the document.
 ///
-/// Only runners that answer and that the configuration gives are told anything.
-pub fn list_orders(view: &View) -> Vec<(id::Runner, SocketAddr, Order)> {
+/// Only configured runners that answer get an order.
+pub fn list_orders(input: &Input) -> Vec<(id::Runner, SocketAddr, Order)> {
     let mut orders = Vec::new();
-    for (name, group) in &view.document.groups {
-        let members: Option<Vec<SocketAddr>> =
-            group.members.iter().map(|place| Some(given(view, &place.runner)?.address)).collect();
+    for (name, group) in &input.document.groups {
+        let members: Option<Vec<SocketAddr>> = group
+            .members
+            .iter()
+            .map(|place| Some(find_configured_runner(input, &place.runner)?.address))
+            .collect();
         let Some(members) = members else { continue };
         for (rank, place) in group.members.iter().enumerate() {
             let role = Role { group: name.clone(), generation: group.generation, rank: rank as u16 };
-            if needs_order(view, place, &role) {
+            if needs_order(input, place, &role) {
                 let order = Order::Take {
                     role,
                     incarnation: place.incarnation,
@@ -449,28 +473,29 @@
             }
         }
     }
-    orders.extend(list_releases(view));
+    orders.extend(list_releases(input));
     orders
 }
 
-fn needs_order(view: &View, place: &Placement, role: &Role) -> bool {
-    let known = view.evidence.of(&place.runner);
+fn needs_order(input: &Input, place: &Placement, role: &Role) -> bool {
+    let known = input.evidence.get_runner(&place.runner);
     let Some(seen) = known.seen else { return false };
     known.missed.is_empty() && seen.incarnation == place.incarnation && seen.role.as_ref() != Some(role)
 }
 
-/// Runners that hold a role they no longer have.
-fn list_releases(view: &View) -> Vec<(id::Runner, SocketAddr, Order)> {
-    let free = view.evidence.runners.iter().filter(|(runner, _)| view.document.find_group(runner).is_none());
+/// Lists release orders for runners that hold a role but belong to no group.
+fn list_releases(input: &Input) -> Vec<(id::Runner, SocketAddr, Order)> {
+    let free =
+        input.evidence.runners.iter().filter(|(runner, _)| input.document.find_group(runner).is_none());
     free.filter_map(|(runner, known)| {
         let seen = known.seen.as_ref().filter(|_| known.missed.is_empty())?;
         let role = seen.role.as_ref()?;
-        // A role of a later generation means that our document is old.
-        if role.generation > view.document.generation {
+        // A role of a later generation means that this node's document is out of date.
+        if role.generation > input.document.generation {
             return None;
         }
-        let address = given(view, runner)?.address;
-        Some((runner.clone(), address, Order::Release { generation: view.document.generation }))
+        let address = find_configured_runner(input, runner)?.address;
+        Some((runner.clone(), address, Order::Release { generation: input.document.generation }))
     })
     .collect()
 }
