--- a/crates/fleet/benches/pressure.rs
+++ b/crates/fleet/benches/pressure.rs
@@ -13,7 +13,7 @@
 use cottoncrank::Millis;
 use cottoncrank_fleet::apportion::Want;
 use cottoncrank_fleet::rate::Rate;
-use cottoncrank_fleet::runner::Life;
+use cottoncrank_fleet::runner::Incarnation;
 use cottoncrank_fleet::said::News;
 use cottoncrank_fleet::throttle::Told;
 use plotters::prelude::*;
@@ -62,7 +62,7 @@
 fn print_bytes() -> Result<(), Box<dyn Error>> {
     let name = |number: usize| format!("i-{number:010x}").parse();
     let claim = |number| -> Result<Told, Box<dyn Error>> {
-        let life = Some(Life(1_770_000_000_000 + number as u64));
+        let life = Some(Incarnation(1_770_000_000_000 + number as u64));
         let (asked, heard) = (Millis(900), Millis(600));
         Ok(Told { runner: name(number)?, life, rate: Some(Rate(1600)), asked, heard })
     };
--- a/crates/fleet/src/adopt.rs
+++ b/crates/fleet/src/adopt.rs
@@ -58,7 +58,7 @@
         members: members.iter().map(|runner| runner.id.clone()).collect(),
         state: State::Active,
         still: false,
-        lives: members.iter().map(|runner| runner.life).collect(),
+        lives: members.iter().map(|runner| runner.incarnation).collect(),
     })
 }
 
--- a/crates/fleet/src/backoff.rs
+++ b/crates/fleet/src/backoff.rs
@@ -9,13 +9,13 @@
 
 use cottoncrank::{Millis, id};
 
-use crate::runner::{Life, is_later};
+use crate::runner::{Incarnation, is_later};
 
 /// What a runner asked for.
 #[derive(Clone, Copy, Debug)]
 struct Backoff {
     /// In which life, where that is told.
-    life: Option<Life>,
+    life: Option<Incarnation>,
     until: Millis,
 }
 
@@ -29,7 +29,7 @@
     /// The latest end holds: answers overtake each other, and a runner that has asked for more
     /// has not taken that back by asking for less. A later life owes nothing to a former one.
     /// Returns whether this was no backoff before.
-    pub fn put(&mut self, id: &id::Runner, life: Option<Life>, span: Millis, now: Millis) -> bool {
+    pub fn put(&mut self, id: &id::Runner, life: Option<Incarnation>, span: Millis, now: Millis) -> bool {
         self.0.retain(|_, backoff| now < backoff.until);
         let until = now + span;
         let known = self.0.get(id).copied().filter(|known| !is_later(life, known.life));
@@ -42,7 +42,7 @@
     }
 
     /// Until when a runner wants none, if it does; `life` is the one it is known to be in.
-    pub fn find(&self, id: &id::Runner, life: Option<Life>, now: Millis) -> Option<Millis> {
+    pub fn find(&self, id: &id::Runner, life: Option<Incarnation>, now: Millis) -> Option<Millis> {
         let backoff = self.0.get(id).filter(|backoff| now < backoff.until)?;
         (!is_later(life, backoff.life)).then_some(backoff.until)
     }
--- a/crates/fleet/src/catalog.rs
+++ b/crates/fleet/src/catalog.rs
@@ -50,9 +50,9 @@
     /// The longest a request may be held.
     pub timeout: Millis,
     /// The time in which an answer, or the first event of a stream, is wanted.
-    pub objective: Millis,
+    pub target_latency: Millis,
     /// The longest pause between events that still counts as in time.
-    pub gap: Option<Millis>,
+    pub target_gap: Option<Millis>,
     /// The rank among routes, 0 first.
     pub priority: u8,
     /// The services that run its requests.
@@ -60,7 +60,7 @@
     /// The most runners one request may be sent to.
     pub attempts: u32,
     /// Whether a request needs no key.
-    pub anonymous: bool,
+    pub allow_anonymous: bool,
     /// Whether a stream may go on at another runner after its last event.
     pub resumable: bool,
 }
@@ -78,10 +78,10 @@
     /// The target at `point`, a number from 0 up to the sum of all weights.
     pub fn pick_target(&self, point: u32) -> Option<&Target> {
         let total: u32 = self.targets.iter().map(|target| target.weight).sum();
-        let mut left = point.checked_rem(total)?;
-        self.targets.iter().find(|target| match left.checked_sub(target.weight) {
+        let mut remaining = point.checked_rem(total)?;
+        self.targets.iter().find(|target| match remaining.checked_sub(target.weight) {
             Some(rest) => {
-                left = rest;
+                remaining = rest;
                 false
             }
             None => true,
@@ -99,9 +99,9 @@
     /// Its part of the service's runners, 0 to 1.
     pub share: f64,
     /// How long a runner loads it from the shared weight store.
-    pub load: Millis,
+    pub load_time: Millis,
     /// How long a runner loads it from its own host.
-    pub warm: Millis,
+    pub warm_load_time: Millis,
     /// A factor on all times of its groups.
     pub pace: f64,
 }
@@ -110,15 +110,15 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Speed {
     /// How long a step takes in which each request gets a token, in milliseconds.
-    pub step: f64,
+    pub step_ms: f64,
     /// How much longer it takes for each request that writes, in milliseconds.
-    pub request: f64,
+    pub per_request_ms: f64,
     /// Steps in a pass, between which prompts are read.
     pub stride: f64,
     /// Tokens of prompts that are read in a millisecond.
-    pub read: f64,
+    pub prompt_tokens_per_ms: f64,
     /// Tokens of a usual answer.
-    pub answer: f64,
+    pub usual_answer_tokens: f64,
 }
 
 /// How the runners of a service work, where they are model engines.
@@ -158,11 +158,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
     /// The largest head of a request, in bytes.
-    pub head_bytes: usize,
+    pub max_head_bytes: usize,
     /// The largest body of a request, in bytes.
-    pub body_bytes: usize,
+    pub max_body_bytes: usize,
     /// How long a connection may rest between requests.
-    pub idle: Millis,
+    pub idle_timeout: Millis,
 }
 
 /// Everything operators want, at one version.
@@ -196,8 +196,9 @@
             routes.sort_by_key(|route| std::cmp::Reverse(route.prefix.len()));
         }
         let keys = accounts.iter().enumerate();
-        let by_key =
-            keys.flat_map(|(at, account)| account.keys.iter().map(move |key| (key.clone(), at))).collect();
+        let by_key = keys
+            .flat_map(|(index, account)| account.keys.iter().map(move |key| (key.clone(), index)))
+            .collect();
         Catalog { version, services, limits, accounts, by_host, by_key }
     }
 
@@ -208,7 +209,7 @@
 
     /// The account that holds `key`.
     pub fn find_account(&self, key: &str) -> Option<&Account> {
-        self.by_key.get(key).map(|at| &self.accounts[*at])
+        self.by_key.get(key).map(|index| &self.accounts[*index])
     }
 
     /// Whether requests need a key at all.
--- a/crates/fleet/src/census.rs
+++ b/crates/fleet/src/census.rs
@@ -60,7 +60,7 @@
             open,
             forming: mine.len() - open - retired,
             retired,
-            holders: free.iter().filter(|runner| time_join(runner, model) < model.load).count(),
+            holders: free.iter().filter(|runner| time_join(runner, model) < model.load_time).count(),
         }
     });
     let rows = rows.collect();
--- a/crates/fleet/src/directory.rs
+++ b/crates/fleet/src/directory.rs
@@ -15,20 +15,20 @@
 pub const NODES_PER_READER: usize = 12;
 
 /// The least processor time of a reader, and what one that does not tell is taken to have.
-const READER_LEAST: Processor = Processor(120);
+const MIN_READER_CPU: Millicores = Millicores(120);
 
 /// So many readers there are in any case where the hall has nodes for as many of the least: a
 /// lost one must not send all the others to another hall.
-const READERS_LEAST: usize = 2;
+const MIN_READERS: usize = 2;
 
 /// The key by which readers are chosen among the nodes of a hall.
-const READERS: &str = "readers";
+const READER_KEY: &str = "readers";
 
-/// The key by which candidates for deciding are put in order.
-const CANDIDATES: &str = "candidates";
+/// The key by which candidates for deciding are insert in order.
+const CANDIDATE_KEY: &str = "candidates";
 
 /// The key by which the collector of a hall is chosen.
-const COLLECTOR: &str = "collector";
+const COLLECTOR_KEY: &str = "collector";
 
 /// A node as it tells of itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -41,12 +41,12 @@
     pub address: SocketAddr,
     /// How much processor time it may use.
     #[serde(default)]
-    pub processor: Processor,
+    pub processor: Millicores,
 }
 
-/// Processor time that a node may use, in thousandths of a core.
+/// Millicores time that a node may use, in thousandths of a core.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Processor(pub u32);
+pub struct Millicores(pub u32);
 
 /// The nodes known of.
 #[derive(Clone, Debug, Default)]
@@ -54,7 +54,7 @@
 
 impl Directory {
     /// A node has told of itself.
-    pub fn put(&mut self, peer: Peer) {
+    pub fn insert(&mut self, peer: Peer) {
         self.0.insert(peer.node.clone(), peer);
     }
 
@@ -82,16 +82,16 @@
     /// with more processor time come first and serve more: when all nodes start, a reader sends
     /// each that asks it all that the store holds.
     pub fn list_readers(&self, hall: &id::Hall) -> Vec<&Peer> {
-        let ranked = self.rank(hall, READERS);
-        let most = ranked.len().div_ceil(NODES_PER_READER);
+        let ranked = self.rank(hall, READER_KEY);
+        let limit = ranked.len().div_ceil(NODES_PER_READER);
         let mut served = 0;
         let needed = ranked.iter().take_while(|peer| {
             let more = served < ranked.len();
             served +=
-                NODES_PER_READER * peer.processor.max(READER_LEAST).0 as usize / READER_LEAST.0 as usize;
+                NODES_PER_READER * peer.processor.max(MIN_READER_CPU).0 as usize / MIN_READER_CPU.0 as usize;
             more
         });
-        let count = needed.count().max(READERS_LEAST).min(most);
+        let count = needed.count().max(MIN_READERS).min(limit);
         ranked.into_iter().take(count).collect()
     }
 
@@ -104,7 +104,7 @@
     }
 
     /// The readers that `me` may ask, best first. None if it is one of them.
-    pub fn list_sources(&self, me: &id::Node, hall: &id::Hall) -> Vec<&Peer> {
+    pub fn list_local_readers(&self, me: &id::Node, hall: &id::Hall) -> Vec<&Peer> {
         let readers = self.list_readers(hall);
         if readers.iter().any(|peer| peer.node == *me) {
             return Vec::new();
@@ -114,13 +114,13 @@
 
     /// The readers of the other halls, in the order in which `me` asks them: each node has
     /// its own.
-    pub fn list_distant(&self, me: &id::Node, hall: &id::Hall) -> Vec<&Peer> {
+    pub fn list_remote_readers(&self, me: &id::Node, hall: &id::Hall) -> Vec<&Peer> {
         let halls = self.list_halls().into_iter().filter(|other| *other != hall);
         sort_for(me, halls.flat_map(|other| self.list_readers(other)))
     }
 
     /// The nodes that are no readers, `me` left out, in the order in which it asks them.
-    pub fn list_further(&self, me: &id::Node) -> Vec<&Peer> {
+    pub fn list_non_readers(&self, me: &id::Node) -> Vec<&Peer> {
         let readers: BTreeSet<&id::Node> = self
             .list_halls()
             .into_iter()
@@ -134,13 +134,13 @@
     /// How many nodes stand for deciding before `me` does: those with more processor
     /// time, for deciding takes more of it than serving, and of the others some.
     pub fn rank_candidate(&self, me: &id::Node) -> usize {
-        let key = |peer: &Peer| (Reverse(peer.processor), score(CANDIDATES, peer.node.as_str()));
-        let Some(own) = self.0.get(me).map(key) else { return self.0.len() };
-        self.0.values().filter(|peer| key(peer) < own).count()
+        let key = |peer: &Peer| (Reverse(peer.processor), score(CANDIDATE_KEY, peer.node.as_str()));
+        let Some(my_key) = self.0.get(me).map(key) else { return self.0.len() };
+        self.0.values().filter(|peer| key(peer) < my_key).count()
     }
 
     /// The names of the nodes of a hall.
-    pub fn list_names(&self, hall: &id::Hall) -> impl Iterator<Item = &id::Node> {
+    pub fn list_nodes(&self, hall: &id::Hall) -> impl Iterator<Item = &id::Node> {
         self.0.values().filter(move |peer| peer.hall == *hall).map(|peer| &peer.node)
     }
 
@@ -152,7 +152,7 @@
     /// The nodes of a hall in the order in which they collect its reports: the
     /// first does, unless it does not answer.
     pub fn list_collectors(&self, hall: &id::Hall) -> Vec<&Peer> {
-        self.rank(hall, COLLECTOR)
+        self.rank(hall, COLLECTOR_KEY)
     }
 }
 
--- a/crates/fleet/src/dispatch.rs
+++ b/crates/fleet/src/dispatch.rs
@@ -332,12 +332,16 @@
 
 /// How long a group reads a prompt, in milliseconds.
 fn time_reading(choice: &Choice, tokens: u32) -> f64 {
-    if choice.speed.read <= 0.0 { 0.0 } else { choice.model.pace * f64::from(tokens) / choice.speed.read }
+    if choice.speed.prompt_tokens_per_ms <= 0.0 {
+        0.0
+    } else {
+        choice.model.pace * f64::from(tokens) / choice.speed.prompt_tokens_per_ms
+    }
 }
 
 /// How long a step of a group takes that writes for `running` requests, in milliseconds.
 fn time_step(choice: &Choice, running: u32) -> f64 {
-    choice.model.pace * (choice.speed.step + choice.speed.request * f64::from(running))
+    choice.model.pace * (choice.speed.step_ms + choice.speed.per_request_ms * f64::from(running))
 }
 
 /// How long a pass takes.
@@ -347,6 +351,6 @@
 
 /// How long a slot is in use by one request where all are.
 fn time_stream(choice: &Choice, slots: u32) -> f64 {
-    let time = choice.speed.answer * time_step(choice, slots);
+    let time = choice.speed.usual_answer_tokens * time_step(choice, slots);
     if time > 0.0 { time } else { STREAM_UNSET }
 }
--- a/crates/fleet/src/evidence.rs
+++ b/crates/fleet/src/evidence.rs
@@ -7,20 +7,20 @@
 use serde::{Deserialize, Serialize};
 
 use crate::fingerprint::Fingerprint;
-use crate::runner::{Life, Release};
+use crate::runner::{Incarnation, Release};
 
-/// Ends that are kept of one request: [`SURE`](crate::suspects::SURE), and some that were under way meanwhile.
-const CRASHES_MAX: usize = 8;
+/// Ends that are kept of one request: [`MIN_AMBIGUOUS_CRASHES`](crate::suspects::MIN_AMBIGUOUS_CRASHES), and some that were under way meanwhile.
+const MAX_CRASHES: usize = 8;
 
 /// The end of a runner's process, with a request in flight there.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Crash {
     /// The runner.
     pub runner: id::Runner,
-    /// The life that ended, where lives are told.
-    pub life: Option<Life>,
-    /// How many ends in that life were known before the request was sent there: while the
-    /// store is away nodes learn of no new life.
+    /// The incarnation that ended, where lives are told.
+    pub life: Option<Incarnation>,
+    /// How many ends in that incarnation were known before the request was sent there: while the
+    /// store is away nodes learn of no new incarnation.
     pub nth: u32,
     /// The release of its software, where it is told.
     pub release: Option<Release>,
@@ -29,7 +29,7 @@
 impl fmt::Display for Crash {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.life {
-            Some(life) => write!(f, "{} in life {life}", self.runner),
+            Some(incarnation) => write!(f, "{} in incarnation {incarnation}", self.runner),
             None => write!(f, "{}", self.runner),
         }
     }
@@ -54,26 +54,26 @@
 
 impl Row {
     /// The ends that count, whatever else was there.
-    pub fn count(&self) -> usize {
-        if self.cleared { 0 } else { self.list_counted().count() }
+    pub fn count_crashes(&self) -> usize {
+        if self.cleared { 0 } else { self.list_valid_crashes().count() }
     }
 
     /// Whether it has ended runners of certain releases, and none of those is left.
-    pub fn is_outlived(&self, releases: &BTreeSet<Release>) -> bool {
-        let mut ended = self.list_counted().map(|crash| crash.release.as_ref());
+    pub fn is_obsolete(&self, releases: &BTreeSet<Release>) -> bool {
+        let mut releases_crashed = self.list_valid_crashes().map(|crash| crash.release.as_ref());
         !releases.is_empty()
-            && ended.all(|release| release.is_some_and(|release| !releases.contains(release)))
+            && releases_crashed.all(|release| release.is_some_and(|release| !releases.contains(release)))
     }
 
-    pub(crate) fn list_counted(&self) -> impl Iterator<Item = &Crash> {
+    pub(crate) fn list_valid_crashes(&self) -> impl Iterator<Item = &Crash> {
         self.crashes.difference(&self.void)
     }
 
     /// Takes in what another row of the same request says. Returns whether that was new.
-    pub(crate) fn unite(&mut self, other: &Row) -> bool {
+    pub(crate) fn merge(&mut self, other: &Row) -> bool {
         let before = (self.crashes.len(), self.void.len(), self.cleared);
         for crash in &other.crashes {
-            if self.crashes.len() < CRASHES_MAX {
+            if self.crashes.len() < MAX_CRASHES {
                 self.crashes.insert(crash.clone());
             }
         }
--- a/crates/fleet/src/fingerprint.rs
+++ b/crates/fleet/src/fingerprint.rs
@@ -71,13 +71,13 @@
     type Err = FingerprintError;
 
     fn from_str(text: &str) -> Result<Fingerprint, FingerprintError> {
-        let unreadable = || FingerprintError(text.to_owned());
+        let invalid = || FingerprintError(text.to_owned());
         if text.len() != 2 * LENGTH || !text.is_ascii() {
-            return Err(unreadable());
+            return Err(invalid());
         }
         let mut bytes = [0; LENGTH];
         for (at, byte) in bytes.iter_mut().enumerate() {
-            *byte = u8::from_str_radix(&text[2 * at..2 * at + 2], 16).map_err(|_| unreadable())?;
+            *byte = u8::from_str_radix(&text[2 * at..2 * at + 2], 16).map_err(|_| invalid())?;
         }
         Ok(Fingerprint(bytes))
     }
--- a/crates/fleet/src/form.rs
+++ b/crates/fleet/src/form.rs
@@ -79,7 +79,7 @@
         memory.loads.begin(
             scene.now,
             choice.loads,
-            models[choice.model].load,
+            models[choice.model].load_time,
             scene.serving,
             Purpose::Repair,
         );
@@ -96,7 +96,7 @@
             epoch,
             service: scene.service.id.clone(),
             model,
-            lives: choice.members.iter().map(|id| scene.roster.get(id)?.life).collect(),
+            lives: choice.members.iter().map(|id| scene.roster.get(id)?.incarnation).collect(),
             members: choice.members,
             state: State::Active,
             still: false,
@@ -150,14 +150,14 @@
                 members[..=head].rotate_right(1);
             }
             let time = members.iter().map(|runner| time_join(runner, model)).max().unwrap_or_default();
-            let loads = members.iter().filter(|runner| time_join(runner, model) == model.load).count();
+            let loads = members.iter().filter(|runner| time_join(runner, model) == model.load_time).count();
             // A member that loads from the weight store is bound for many seconds.
             // Staged on the side instead, it stays free for whatever is lost next.
             if loads > 0 && scene.serving && alive[model_at] > 0 {
                 continue;
             }
             let part = part(model_at);
-            let held = free.iter().filter(|runner| time_join(runner, model) < model.load).count();
+            let held = free.iter().filter(|runner| time_join(runner, model) < model.load_time).count();
             // Members of small groups stand in for the spare runners of the largest model.
             let spares = if model.size == largest { 0 } else { risk.count_spares(model) };
             let rich = loads == 0 && held >= model.size + spares;
--- a/crates/fleet/src/freshness.rs
+++ b/crates/fleet/src/freshness.rs
@@ -15,11 +15,11 @@
 
 /// A watch may hear nothing for this long although there are changes. The
 /// platform names a second.
-pub const DEAF: Millis = Millis(1000);
+pub const MAX_WATCH_DELAY: Millis = Millis(1000);
 
 /// Kept back from the bound: the time a request needs from its caller to here
 /// counts against it, and the clock of this process ticks in milliseconds.
-pub const MARGIN: Millis = Millis(250);
+pub const SAFETY_MARGIN: Millis = Millis(250);
 
 impl Freshness {
     /// The store answered a read, asked for at `asked`, with what is held here.
@@ -30,7 +30,7 @@
     /// A watch begun at `asked` waited for `waited` and told of no change beyond
     /// what is held here.
     pub fn prove_watch(&mut self, asked: Millis, waited: Millis) {
-        self.prove((asked + waited) - DEAF);
+        self.prove((asked + waited) - MAX_WATCH_DELAY);
     }
 
     /// Whether keys may be honoured at `now`, when one that is taken away must
@@ -38,7 +38,7 @@
     /// refusing everyone while the store is away costs callers more than a key that
     /// works on for as long.
     pub fn allows(&self, now: Millis, bound: Option<Millis>) -> bool {
-        let fresh = |proven| bound.is_none_or(|bound: Millis| now < proven + (bound - MARGIN));
+        let fresh = |proven| bound.is_none_or(|bound: Millis| now < proven + (bound - SAFETY_MARGIN));
         self.proven.is_some_and(fresh)
     }
 
--- a/crates/fleet/src/gossip.rs
+++ b/crates/fleet/src/gossip.rs
@@ -2,7 +2,7 @@
 //!
 //! A node tells its collector what it has seen; collectors tell each other what their halls
 //! have seen; and a collector answers its nodes with what they have to know. Each side keeps
-//! in mind up to where the other has been told, so that an exchange without news costs a few
+//! in mind up to where the other has been sent, so that an exchange without news costs a few
 //! bytes. Rows may arrive twice or late: taking one in again changes nothing.
 
 use std::collections::HashMap;
@@ -14,8 +14,8 @@
 use crate::occupancy::Scope;
 use crate::suspects::{Audience, Table};
 
-/// Rows told at once: some 100 bytes each. All that a node has in flight at a runner fits.
-pub const ROWS_MAX: usize = 256;
+/// Rows sent at once: some 100 bytes each. All that a node has in flight at a runner fits.
+pub const MAX_ROWS: usize = 256;
 
 /// A state of one node's table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -47,38 +47,39 @@
 /// What is kept in mind of another node.
 #[derive(Clone, Copy, Debug, Default)]
 struct Peer {
-    /// The version of the own table up to which it has been told.
-    told: u64,
-    /// Up to where it has told.
-    heard: Option<Mark>,
+    /// The version of the own table up to which it has been sent.
+    sent: u64,
+    /// Up to where it has sent.
+    received: Option<Mark>,
 }
 
 /// What is kept in mind of the nodes asked.
 #[derive(Clone, Debug, Default)]
-pub struct Book(HashMap<id::Node, Peer>);
+pub struct Peers(HashMap<id::Node, Peer>);
 
-impl Book {
+impl Peers {
     /// What to tell a node, and the version up to which that is all.
-    pub fn write(&self, table: &Table, to: &id::Node) -> (Push, u64) {
+    pub fn build_push(&self, table: &Table, to: &id::Node) -> (Push, u64) {
         let peer = self.0.get(to).copied().unwrap_or_default();
-        let (rows, upto) = table.list_news(peer.told, Audience::Collector, ROWS_MAX);
-        (Push { rows, heard: peer.heard }, upto)
+        let (rows, version) = table.list_updates(peer.sent, Audience::Collector, MAX_ROWS);
+        (Push { rows, heard: peer.received }, version)
     }
 
-    /// A node has answered what was told up to a version.
-    pub fn note(&mut self, from: &id::Node, upto: u64, mark: Mark) {
+    /// A node has answered what was sent up to a version.
+    pub fn record_pull(&mut self, from: &id::Node, version: u64, mark: Mark) {
         let peer = self.0.entry(from.clone()).or_default();
-        let started_again = peer.heard.is_some_and(|heard| heard.instance != mark.instance);
-        peer.told = if started_again { 0 } else { upto };
-        peer.heard = Some(mark);
+        let restarted = peer.received.is_some_and(|received| received.instance != mark.instance);
+        peer.sent = if restarted { 0 } else { version };
+        peer.received = Some(mark);
     }
 }
 
 /// What a node answers to one that has asked. Collectors of other halls tell by themselves.
-pub fn answer(table: &Table, instance: u64, push: &Push, scope: Scope) -> Pull {
-    let heard = push.heard.filter(|heard| heard.instance == instance).map_or(0, |heard| heard.version);
+pub fn build_pull(table: &Table, instance: u64, push: &Push, scope: Scope) -> Pull {
+    let known =
+        push.heard.filter(|received| received.instance == instance).map_or(0, |received| received.version);
     let (rows, version) = match scope {
-        Scope::Node => table.list_news(heard, Audience::Node, ROWS_MAX),
+        Scope::Node => table.list_updates(known, Audience::Node, MAX_ROWS),
         Scope::Hall => (Vec::new(), table.version()),
     };
     Pull { rows, mark: Mark { instance, version } }
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -17,7 +17,7 @@
 //!   ([`backoff`]), and how many requests a second ([`rate`]) they take from all nodes together
 //!   ([`throttle`]), which [`apportion`] shares among the halls. [`refusals`] keeps which turn
 //!   requests away without a word.
-//! - Requests that end runners: [`fingerprint`] and [`evidence`] of one, [`breaks`] that are undecided,
+//! - Requests that end runners: [`fingerprint`] and [`evidence`] of one, [`interruptions`] that are undecided,
 //!   [`suspects`] (what all nodes know), [`gossip`] (how they tell it), [`trials`] (what is run).
 //! - [`source`] says whom a node asks for what the store holds.
 
@@ -25,7 +25,6 @@
 pub mod apportion;
 pub mod backoff;
 pub mod balance;
-pub mod breaks;
 pub mod catalog;
 pub mod census;
 pub mod decide;
@@ -40,6 +39,7 @@
 pub mod freshness;
 pub mod gossip;
 pub mod halt;
+pub mod interruptions;
 pub mod limit;
 pub mod loads;
 pub mod loss;
--- a/crates/fleet/src/memory.rs
+++ b/crates/fleet/src/memory.rs
@@ -11,7 +11,7 @@
 use crate::order::{Order, REPEAT_TAKEN};
 use crate::reserve::Losses;
 use crate::roster::Roster;
-use crate::runner::{Epoch, Life, Runner, is_later};
+use crate::runner::{Epoch, Incarnation, Runner, is_later};
 use crate::scene::Scene;
 
 /// A fleet is taken to have all its runners when none has come for this long.
@@ -46,7 +46,7 @@
     /// Orders that the runner answered as done or begun.
     pub(crate) taken: HashSet<(id::Runner, Order)>,
     /// The lives of the runners that the above were given to.
-    lives: HashMap<id::Runner, Life>,
+    lives: HashMap<id::Runner, Incarnation>,
     /// What each runner was last told to stage.
     staged: HashMap<id::Runner, Staging>,
     /// Groups whose members were refused in a way that no repeat mends.
@@ -88,7 +88,7 @@
     ///
     /// The answer is of the life it was given in: `life`. What a former life took, the
     /// present one knows nothing of.
-    pub fn note_taken(&mut self, runner: &id::Runner, life: Option<Life>, order: &Order, now: Millis) {
+    pub fn note_taken(&mut self, runner: &id::Runner, life: Option<Incarnation>, order: &Order, now: Millis) {
         if let Order::Leave(group, epoch) = order {
             // Whichever member left: the group stands still from now on.
             self.halted.entry((group.clone(), *epoch)).or_insert(now);
@@ -102,7 +102,7 @@
     /// Forgets what was told to former lives of runners.
     fn notice_lives(&mut self, roster: &Roster) {
         for runner in roster.iter() {
-            let Some(life) = runner.life else { continue };
+            let Some(life) = runner.incarnation else { continue };
             let before = self.lives.insert(runner.id.clone(), life);
             if is_later(Some(life), before) {
                 let other = |(id, _): &(id::Runner, Order)| *id != runner.id;
@@ -129,11 +129,11 @@
         serving: bool,
         purpose: Purpose,
     ) {
-        let patience = Millis(model.load.0 * STAGING_PATIENCE);
+        let patience = Millis(model.load_time.0 * STAGING_PATIENCE);
         let staging =
             Staging { model: model.name.clone(), until: now + patience, held: runner.staged.clone() };
         self.staged.insert(runner.id.clone(), staging);
-        self.loads.begin(now, 1, model.load, serving, purpose);
+        self.loads.begin(now, 1, model.load_time, serving, purpose);
     }
 
     /// The model that a runner was last told to stage, if it has it or may still load it.
@@ -148,7 +148,7 @@
         self.notice_lives(scene.roster);
         self.refusing.extend(scene.refusing.iter().map(|runner| (runner.clone(), scene.now)));
         self.refusing.retain(|_, last| scene.now < *last + REFUSED);
-        let known = |runner: &id::Runner| scene.roster.recall(runner).is_some();
+        let known = |runner: &id::Runner| scene.roster.get_last_known(runner).is_some();
         let groups = scene.plans.values().flat_map(|plan| &plan.groups);
         let names: HashSet<(&id::Group, Epoch)> = groups.map(|group| (&group.name, group.epoch)).collect();
         let planned = |group: &id::Group, epoch: Epoch| names.contains(&(group, epoch));
--- a/crates/fleet/src/orders.rs
+++ b/crates/fleet/src/orders.rs
@@ -68,7 +68,7 @@
         let finished = group.state == State::Lost || desk.has_passed(head, &close, FINISH);
         return desk.give(head, if finished { leave } else { close });
     }
-    let forgotten = group.members.iter().all(|id| scene.roster.recall(id).is_none());
+    let forgotten = group.members.iter().all(|id| scene.roster.get_last_known(id).is_none());
     if forgotten {
         desk.memory.halted.entry((group.name.clone(), group.epoch)).or_insert(desk.now);
     }
--- a/crates/fleet/src/plan.rs
+++ b/crates/fleet/src/plan.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-use crate::runner::{Epoch, Life};
+use crate::runner::{Epoch, Incarnation};
 
 /// A group as planned.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -31,7 +31,7 @@
     /// that has started again is in no group, though its id is the same. Nodes that
     /// knew no lives wrote none.
     #[serde(default)]
-    pub lives: Vec<Option<Life>>,
+    pub lives: Vec<Option<Incarnation>>,
 }
 
 /// What is meant to become of a group.
@@ -53,7 +53,7 @@
     }
 
     /// The life in which a member was planned, where that was known.
-    pub fn find_life(&self, member: &id::Runner) -> Option<Life> {
+    pub fn find_life(&self, member: &id::Runner) -> Option<Incarnation> {
         let rank = self.members.iter().position(|id| id == member)?;
         *self.lives.get(rank)?
     }
--- a/crates/fleet/src/preempt.rs
+++ b/crates/fleet/src/preempt.rs
@@ -46,7 +46,8 @@
 /// Closes groups of `lower` in a domain that lacks few runners for a group of `large`,
 /// if their members complete it. Returns whether it closed one.
 fn close_victims(scene: &Scene, site: &mut Site, large: &Model, lower: &[&Model]) -> bool {
-    let free = site.list_free().into_iter().filter(|runner| time_join(runner, large) < large.load).count();
+    let free =
+        site.list_free().into_iter().filter(|runner| time_join(runner, large) < large.load_time).count();
     let retired = site.plan.groups.iter().filter(|group| group.is_retired());
     let coming: usize = retired.map(|group| count_holders(scene, group, large)).sum();
     // Most of the group must be there: what is closed takes requests at present.
@@ -55,7 +56,7 @@
     }
     // Those of a group that is over are told to leave it and are free in a moment. Where they
     // complete the large one, no group is closed for it; where not, they do not change which is.
-    let released = site.list_released().filter(|runner| time_join(runner, large) < large.load).count();
+    let released = site.list_released().filter(|runner| time_join(runner, large) < large.load_time).count();
     if free + coming + released >= large.size {
         return false;
     }
@@ -102,6 +103,7 @@
 
 /// The members of a group that can join one of `model` without a load.
 fn count_holders(scene: &Scene, group: &Group, model: &Model) -> usize {
-    let holds = |id: &&id::Runner| scene.find(id).is_some_and(|runner| time_join(runner, model) < model.load);
+    let holds =
+        |id: &&id::Runner| scene.find(id).is_some_and(|runner| time_join(runner, model) < model.load_time);
     group.members.iter().filter(holds).count()
 }
--- a/crates/fleet/src/presence.rs
+++ b/crates/fleet/src/presence.rs
@@ -13,11 +13,11 @@
 use crate::directory::Directory;
 
 /// A node that was not heard of for this long is gone, where most of its hall are heard.
-pub const ABSENT: Millis = Millis(12_000);
+pub const ABSENCE_TIMEOUT: Millis = Millis(12_000);
 
 /// The same where most of the hall are not heard, or a whole hall is not: the way there may be
 /// cut, or the collector itself cut off.
-pub const ABSENT_MANY: Millis = Millis(120_000);
+pub const MASS_ABSENCE_TIMEOUT: Millis = Millis(120_000);
 
 /// What a collector has heard of nodes.
 #[derive(Clone, Debug, Default)]
@@ -32,22 +32,22 @@
 
 impl Presence {
     /// This node is the collector of its hall, as far as it can tell.
-    pub fn begin(&mut self) {
+    pub fn start_collecting(&mut self) {
         self.collecting = true;
     }
 
     /// Another node is. What this one hears of others says nothing.
-    pub fn resign(&mut self) {
+    pub fn stop_collecting(&mut self) {
         *self = Presence::default();
     }
 
     /// A node of the hall has reported to this one.
-    pub fn hear(&mut self, node: &id::Node, now: Millis) {
+    pub fn record_report(&mut self, node: &id::Node, now: Millis) {
         self.nodes.insert(node.clone(), now);
     }
 
     /// The collector of another hall has.
-    pub fn hear_hall(&mut self, hall: &id::Hall, now: Millis) {
+    pub fn record_hall_report(&mut self, hall: &id::Hall, now: Millis) {
         self.halls.insert(hall.clone(), now);
     }
 
@@ -62,18 +62,19 @@
         if !self.collecting {
             return Vec::new();
         }
-        let here: BTreeSet<&id::Node> = directory.list_names(hall).filter(|node| *node != me).collect();
-        self.nodes.retain(|node, _| here.contains(node));
-        let spans = here.iter().map(|node| {
-            let heard = *self.nodes.entry((*node).clone()).or_insert(now);
-            (*node, now.since(heard))
+        let local_nodes: BTreeSet<&id::Node> =
+            directory.list_nodes(hall).filter(|node| *node != me).collect();
+        self.nodes.retain(|node, _| local_nodes.contains(node));
+        let ages = local_nodes.iter().map(|node| {
+            let last_report = *self.nodes.entry((*node).clone()).or_insert(now);
+            (*node, now.since(last_report))
         });
-        let spans: Vec<(&id::Node, Millis)> = spans.collect();
-        let absent = spans.iter().filter(|(_, span)| *span >= ABSENT).count();
+        let ages: Vec<(&id::Node, Millis)> = ages.collect();
+        let absent = ages.iter().filter(|(_, age)| *age >= ABSENCE_TIMEOUT).count();
         // This node is one that is there.
-        let most_are_there = absent <= here.len() / 2;
-        let bound = if most_are_there { ABSENT } else { ABSENT_MANY };
-        let gone = spans.into_iter().filter(|(_, span)| *span >= bound).map(|(node, _)| node.clone());
+        let most_present = absent <= local_nodes.len() / 2;
+        let timeout = if most_present { ABSENCE_TIMEOUT } else { MASS_ABSENCE_TIMEOUT };
+        let gone = ages.into_iter().filter(|(_, age)| *age >= timeout).map(|(node, _)| node.clone());
         gone.chain(self.list_gone_elsewhere(hall, directory, now)).collect()
     }
 
@@ -82,15 +83,15 @@
         let others: BTreeSet<&id::Hall> =
             directory.list_halls().into_iter().filter(|other| *other != hall).collect();
         self.halls.retain(|other, _| others.contains(other));
-        let spans = others.iter().map(|other| {
-            let heard = *self.halls.entry((*other).clone()).or_insert(now);
-            (*other, now.since(heard))
+        let ages = others.iter().map(|other| {
+            let last_report = *self.halls.entry((*other).clone()).or_insert(now);
+            (*other, now.since(last_report))
         });
-        let spans: Vec<(&id::Hall, Millis)> = spans.collect();
-        if spans.iter().any(|(other, span)| *other < hall && *span < ABSENT) {
+        let ages: Vec<(&id::Hall, Millis)> = ages.collect();
+        if ages.iter().any(|(other, age)| *other < hall && *age < ABSENCE_TIMEOUT) {
             return Vec::new();
         }
-        let silent = spans.into_iter().filter(|(_, span)| *span >= ABSENT_MANY).map(|(other, _)| other);
-        silent.flat_map(|other| directory.list_names(other).cloned()).collect()
+        let silent = ages.into_iter().filter(|(_, age)| *age >= MASS_ABSENCE_TIMEOUT).map(|(other, _)| other);
+        silent.flat_map(|other| directory.list_nodes(other).cloned()).collect()
     }
 }
--- a/crates/fleet/src/probe.rs
+++ b/crates/fleet/src/probe.rs
@@ -5,7 +5,7 @@
 
 use cottoncrank::id;
 
-use crate::runner::{Life, is_later};
+use crate::runner::{Incarnation, is_later};
 
 /// Questions in a row without an answer after which a runner counts as silent.
 pub const MISSES: u32 = 2;
@@ -41,7 +41,7 @@
     /// What it said, to the last question of the round.
     pub reported: Reported,
     /// In which life it answered, where it said so.
-    pub life: Option<Life>,
+    pub life: Option<Incarnation>,
     /// How many questions were put to it.
     pub asked: u32,
 }
@@ -70,7 +70,7 @@
     /// Whether another runner has answered at its address.
     gone: bool,
     /// The life in which it answered last.
-    life: Option<Life>,
+    life: Option<Incarnation>,
 }
 
 /// What rounds of questions have shown so far.
--- a/crates/fleet/src/reserve.rs
+++ b/crates/fleet/src/reserve.rs
@@ -64,7 +64,7 @@
     /// What is to be expected of `runners` runners in `domains` domains.
     pub fn assess(losses: &Losses, engine: &Engine, runners: usize, domains: usize) -> Risk {
         let rate = losses.rate();
-        let load = engine.models.iter().map(|model| model.share * seconds(model.load)).sum::<f64>();
+        let load = engine.models.iter().map(|model| model.share * seconds(model.load_time)).sum::<f64>();
         let busy = rate * runners as f64 * load / engine.loads_at_once.max(1) as f64;
         Risk { rate, domain: runners as f64 / domains.max(1) as f64, busy }
     }
@@ -73,10 +73,10 @@
     /// where `held` do: those left of a group wait for a load then. Above one, it is
     /// worth more to keep it than to let it serve.
     pub fn weigh(&self, model: &Model, held: usize) -> f64 {
-        let away = seconds(model.load) / (1.0 - self.busy.min(BUSY_MAX));
+        let away = seconds(model.load_time) / (1.0 - self.busy.min(BUSY_MAX));
         let losses = self.rate * self.domain * model.share;
         let idle = model.size.saturating_sub(1) as f64 * away;
-        losses * idle * chance_of_more(losses * seconds(model.load), held)
+        losses * idle * chance_of_more(losses * seconds(model.load_time), held)
     }
 
     /// How many loads that run at full speed are left for what is lost next, while members
--- a/crates/fleet/src/roster.rs
+++ b/crates/fleet/src/roster.rs
@@ -5,17 +5,17 @@
 use cottoncrank::{Millis, id};
 
 use crate::plan::{Group, Plans};
-use crate::runner::{Life, Phase, Release, Runner, is_later};
+use crate::runner::{Incarnation, Phase, Release, Runner, is_later};
 use crate::said::Leaving;
 
 /// Runners whose entry lapsed while the store was away are given this long
 /// after its return to write themselves in again. The platform names about two
 /// seconds.
-pub const RETURN: Millis = Millis(2300);
+pub const RETURN_GRACE: Millis = Millis(2300);
 
 /// A runner whose entry is gone is remembered for this long: as long as one may
 /// be cut off from the store and still run requests.
-pub const REMEMBERED: Millis = Millis(60_000);
+pub const DEPARTED_TTL: Millis = Millis(60_000);
 
 #[derive(Clone, Debug)]
 struct Entry {
@@ -24,14 +24,14 @@
     missing: Option<Millis>,
 }
 
-/// What an entry told of a runner's life.
+/// What an entry told of a runner's incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Notice {
-    /// It is the life that was known, or lives are not told.
-    Known,
+pub enum Update {
+    /// It is the incarnation that was known, or lives are not told.
+    Current,
     /// The runner has started again under its id.
     Restarted,
-    /// The entry is of a former life, or of an earlier moment of this one.
+    /// The entry is of a former incarnation, or of an earlier moment of this one.
     Outdated,
 }
 
@@ -41,10 +41,10 @@
     entries: HashMap<id::Runner, Entry>,
     /// Runners whose entry is gone, and since when. They may still be there.
     departed: HashMap<id::Runner, (Runner, Millis)>,
-    /// Runners that have said in an answer that they are about to leave, and in which life.
-    leaving: HashMap<id::Runner, Option<Life>>,
+    /// Runners that have said in an answer that they are about to leave, and in which incarnation.
+    leaving: HashMap<id::Runner, Option<Incarnation>>,
     /// Until when a missing entry may still come back.
-    grace: Millis,
+    grace_until: Millis,
 }
 
 fn is_open(head: &Runner, group: &Group) -> bool {
@@ -54,50 +54,50 @@
 }
 
 impl Roster {
-    /// A runner has written its entry. What it served before in the same life is kept. An
-    /// entry of a former life, which may come late, is passed over.
-    pub fn put(&mut self, mut runner: Runner) -> Notice {
-        let known = self.recall(&runner.id);
-        let before = known.and_then(|known| known.life);
-        if is_later(before, runner.life) || known.is_some_and(|known| runner.is_before(known)) {
-            return Notice::Outdated;
+    /// A runner has written its entry. What it served before in the same incarnation is kept. An
+    /// entry of a former incarnation, which may come late, is passed over.
+    pub fn insert(&mut self, mut runner: Runner) -> Update {
+        let known = self.get_last_known(&runner.id);
+        let previous = known.and_then(|known| known.incarnation);
+        if is_later(previous, runner.incarnation) || known.is_some_and(|known| runner.is_older_than(known)) {
+            return Update::Outdated;
         }
-        let notice = if is_later(runner.life, before) { Notice::Restarted } else { Notice::Known };
-        let served = known.filter(|_| notice == Notice::Known).and_then(|known| known.served.clone());
+        let update = if is_later(runner.incarnation, previous) { Update::Restarted } else { Update::Current };
+        let served = known.filter(|_| update == Update::Current).and_then(|known| known.served.clone());
         runner.served = runner.models.first().cloned().or(served);
-        runner.life = runner.life.or(before);
+        runner.incarnation = runner.incarnation.or(previous);
         // Entries lag behind answers, and stand still while the store is away.
-        runner.draining |= self.is_leaving(&runner.id, runner.life);
+        runner.draining |= self.is_leaving(&runner.id, runner.incarnation);
         self.departed.remove(&runner.id);
         self.entries.insert(runner.id.clone(), Entry { runner, missing: None });
-        notice
+        update
     }
 
-    /// A runner has said in which life it is. Returns whether that is a later one than was
+    /// A runner has said in which incarnation it is. Returns whether that is a later one than was
     /// known: its entry then still tells of the former one, and nothing of that holds.
-    pub fn note_life(&mut self, id: &id::Runner, life: Life) -> bool {
+    pub fn record_incarnation(&mut self, id: &id::Runner, incarnation: Incarnation) -> bool {
         let entry = self.entries.get_mut(id).map(|entry| &mut entry.runner);
         let known = entry.or_else(|| self.departed.get_mut(id).map(|(runner, _)| runner));
         let Some(runner) = known else { return false };
-        if runner.life.is_none() {
-            runner.life = Some(life);
+        if runner.incarnation.is_none() {
+            runner.incarnation = Some(incarnation);
         }
-        let later = is_later(Some(life), runner.life);
+        let later = is_later(Some(incarnation), runner.incarnation);
         if later {
-            runner.restart(life);
+            runner.restart(incarnation);
         }
         later
     }
 
-    /// A runner has said in an answer, given in this life as far as that is told, that it is
+    /// A runner has said in an answer, given in this incarnation as far as that is told, that it is
     /// about to leave: from now on it is, whatever its entry says. Returns whether that is new.
-    pub fn note_leaving(&mut self, id: &id::Runner, life: Option<Life>) -> bool {
-        let Some(known) = self.recall(id) else { return false };
-        if is_later(known.life, life) || self.is_leaving(id, known.life) {
+    pub fn record_leaving(&mut self, id: &id::Runner, incarnation: Option<Incarnation>) -> bool {
+        let Some(known) = self.get_last_known(id) else { return false };
+        if is_later(known.incarnation, incarnation) || self.is_leaving(id, known.incarnation) {
             return false;
         }
         let new = !known.draining;
-        self.leaving.insert(id.clone(), life.or(known.life));
+        self.leaving.insert(id.clone(), incarnation.or(known.incarnation));
         if let Some(entry) = self.entries.get_mut(id) {
             entry.runner.draining = true;
         }
@@ -107,24 +107,24 @@
     /// The runners that have said in an answer that they are about to leave.
     pub fn list_leaving(&self) -> Vec<Leaving> {
         let leaving = self.leaving.iter();
-        leaving.map(|(id, life)| Leaving { runner: id.clone(), life: *life }).collect()
+        leaving.map(|(id, incarnation)| Leaving { runner: id.clone(), life: *incarnation }).collect()
     }
 
-    /// Whether a runner has said in this life that it is about to leave.
-    fn is_leaving(&self, id: &id::Runner, life: Option<Life>) -> bool {
-        self.leaving.get(id).is_some_and(|told| !is_later(life, *told))
+    /// Whether a runner has said in this incarnation that it is about to leave.
+    fn is_leaving(&self, id: &id::Runner, incarnation: Option<Incarnation>) -> bool {
+        self.leaving.get(id).is_some_and(|left_in| !is_later(incarnation, *left_in))
     }
 
     /// A runner's entry cannot be read: it names no runner to use, from now on, whether or
     /// not the store was away. Requests that run there are not touched.
     pub fn discard(&mut self, id: &id::Runner, now: Millis) {
-        self.depart(id, now);
+        self.mark_departed(id, now);
     }
 
     /// A runner's entry is gone.
     pub fn remove(&mut self, id: &id::Runner, now: Millis) {
-        if now >= self.grace {
-            self.depart(id, now);
+        if now >= self.grace_until {
+            self.mark_departed(id, now);
         } else if let Some(entry) = self.entries.get_mut(id) {
             entry.missing.get_or_insert(now);
         }
@@ -138,30 +138,30 @@
             self.remove(&id, now);
         }
         for runner in runners {
-            self.put(runner);
+            self.insert(runner);
         }
     }
 
     /// The store answers again after it did not: missing entries may come back.
-    pub fn regain(&mut self, now: Millis) {
-        self.grace = now + RETURN;
+    pub fn start_grace_period(&mut self, now: Millis) {
+        self.grace_until = now + RETURN_GRACE;
     }
 
     /// Takes those runners as gone whose time to come back is over. Returns them.
     pub fn expire(&mut self, now: Millis) -> Vec<id::Runner> {
-        if now < self.grace {
+        if now < self.grace_until {
             return Vec::new();
         }
         let missing = self.entries.iter().filter(|(_, entry)| entry.missing.is_some());
         let gone: Vec<id::Runner> = missing.map(|(id, _)| id.clone()).collect();
         for id in &gone {
-            self.depart(id, now);
+            self.mark_departed(id, now);
         }
         gone
     }
 
-    fn depart(&mut self, id: &id::Runner, now: Millis) {
-        self.departed.retain(|_, (_, since)| now < *since + REMEMBERED);
+    fn mark_departed(&mut self, id: &id::Runner, now: Millis) {
+        self.departed.retain(|_, (_, since)| now < *since + DEPARTED_TTL);
         if let Some(entry) = self.entries.remove(id) {
             self.departed.insert(id.clone(), (entry.runner, now));
         }
@@ -169,7 +169,7 @@
     }
 
     /// A runner as it last described itself, its entry may be gone.
-    pub fn recall(&self, id: &id::Runner) -> Option<&Runner> {
+    pub fn get_last_known(&self, id: &id::Runner) -> Option<&Runner> {
         self.get(id).or_else(|| self.departed.get(id).map(|(runner, _)| runner))
     }
 
--- a/crates/fleet/src/runner.rs
+++ b/crates/fleet/src/runner.rs
@@ -25,22 +25,22 @@
     }
 }
 
-/// One life of a runner: the start of its process, in milliseconds by the clock of its own
+/// One incarnation of a runner: the start of its process, in milliseconds by the clock of its own
 /// box. A runner may start again under its id, and then holds and knows nothing of
 /// before. Lives are compared for one runner only, and never with a clock of ours.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Life(pub u64);
+pub struct Incarnation(pub u64);
 
-impl fmt::Display for Life {
+impl fmt::Display for Incarnation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         fmt::Display::fmt(&self.0, f)
     }
 }
 
-impl FromStr for Life {
+impl FromStr for Incarnation {
     type Err = ParseIntError;
-    fn from_str(text: &str) -> Result<Life, ParseIntError> {
-        text.parse().map(Life)
+    fn from_str(text: &str) -> Result<Incarnation, ParseIntError> {
+        text.parse().map(Incarnation)
     }
 }
 
@@ -54,10 +54,10 @@
     }
 }
 
-/// Whether `told` is a later life of a runner than `known`. Where one of them is not
+/// Whether `reported` is a later incarnation of a runner than `known`. Where one of them is not
 /// told, nothing can be concluded.
-pub fn is_later(told: Option<Life>, known: Option<Life>) -> bool {
-    told.zip(known).is_some_and(|(told, known)| told > known)
+pub fn is_later(reported: Option<Incarnation>, known: Option<Incarnation>) -> bool {
+    reported.zip(known).is_some_and(|(reported, known)| reported > known)
 }
 
 /// How far a runner is in its group.
@@ -93,11 +93,11 @@
 pub struct Runner {
     /// Its id. Its process may start again under the same one.
     pub id: id::Runner,
-    /// Which life of it this is about, where the platform says so.
-    pub life: Option<Life>,
+    /// Which incarnation of it this is about, where the platform says so.
+    pub incarnation: Option<Incarnation>,
     /// The release of its software, where the platform says so.
     pub release: Option<Release>,
-    /// How many orders it has taken in this life, where the platform says so.
+    /// How many orders it has taken in this incarnation, where the platform says so.
     pub orders: Option<u64>,
     /// The service it belongs to.
     pub service: id::Service,
@@ -113,7 +113,7 @@
     pub draining: bool,
     /// The models it has loaded, as its entry says: none once it has left its group.
     pub models: Vec<id::Model>,
-    /// The model it served last in this life, if that was seen. It joins a group of it
+    /// The model it served last in this incarnation, if that was seen. It joins a group of it
     /// at once, though its entry does not tell.
     pub served: Option<id::Model>,
     /// The models its host keeps a copy of.
@@ -125,8 +125,8 @@
 impl Runner {
     /// Starts it anew: it is in no group and has no model loaded. What its host keeps
     /// outlasts its process.
-    pub fn restart(&mut self, life: Life) {
-        self.life = Some(life);
+    pub fn restart(&mut self, incarnation: Incarnation) {
+        self.incarnation = Some(incarnation);
         self.orders = None;
         self.draining = false;
         self.models.clear();
@@ -134,11 +134,11 @@
         self.membership = None;
     }
 
-    /// Whether this tells of an earlier moment of the same life than `known`: orders are only
+    /// Whether this tells of an earlier moment of the same incarnation than `known`: orders are only
     /// counted up. The store may have come back from an older copy.
-    pub fn is_before(&self, known: &Runner) -> bool {
-        let same_life = self.life.is_some() && self.life == known.life;
-        same_life && self.orders.zip(known.orders).is_some_and(|(told, known)| told < known)
+    pub fn is_older_than(&self, known: &Runner) -> bool {
+        let same_life = self.incarnation.is_some() && self.incarnation == known.incarnation;
+        same_life && self.orders.zip(known.orders).is_some_and(|(reported, known)| reported < known)
     }
 
     /// Whether it served `model` last.
--- a/crates/fleet/src/said.rs
+++ b/crates/fleet/src/said.rs
@@ -9,7 +9,7 @@
 
 use crate::backoff;
 use crate::rate::Rate;
-use crate::runner::Life;
+use crate::runner::Incarnation;
 use crate::throttle::{self, Told};
 
 /// Whether a runner takes a request of a node.
@@ -34,7 +34,7 @@
 
 impl Said {
     /// Whether a runner takes a request of this node; `life` is the one it is known to be in.
-    pub fn ask(&self, id: &id::Runner, life: Option<Life>, now: Millis) -> Admission {
+    pub fn ask(&self, id: &id::Runner, life: Option<Incarnation>, now: Millis) -> Admission {
         if let Some(until) = self.backoffs.find(id, life, now) {
             return Admission::Closed(until);
         }
@@ -48,7 +48,7 @@
     /// The runner.
     pub runner: id::Runner,
     /// In which life, where that is told.
-    pub life: Option<Life>,
+    pub life: Option<Incarnation>,
 }
 
 /// What nodes tell each other of what runners said.
--- a/crates/fleet/src/scene.rs
+++ b/crates/fleet/src/scene.rs
@@ -48,7 +48,7 @@
     /// Whether a member of a group has started again since the group was planned.
     pub(crate) fn has_restarted(&self, group: &Group, member: &id::Runner) -> bool {
         let planned = group.find_life(member);
-        self.roster.recall(member).is_some_and(|runner| is_later(runner.life, planned))
+        self.roster.get_last_known(member).is_some_and(|runner| is_later(runner.incarnation, planned))
     }
 
     /// A runner that is there and answers.
@@ -116,9 +116,9 @@
     if runner.has_served(&model.name) {
         Millis(0)
     } else if runner.staged.contains(&model.name) {
-        model.warm
+        model.warm_load_time
     } else {
-        model.load
+        model.load_time
     }
 }
 
--- a/crates/fleet/src/settings.rs
+++ b/crates/fleet/src/settings.rs
@@ -4,7 +4,7 @@
 
 use cottoncrank::{Millis, id};
 
-use crate::directory::Processor;
+use crate::directory::Millicores;
 
 /// The settings of a node.
 #[derive(Clone, Debug, PartialEq)]
@@ -22,7 +22,7 @@
     /// The store.
     pub store: SocketAddr,
     /// How much processor time the node may use.
-    pub processor: Processor,
+    pub processor: Millicores,
     /// Whether the whole system starts for the first time.
     pub first_start: bool,
     /// The shortest lease the store gives.
--- a/crates/fleet/src/staging.rs
+++ b/crates/fleet/src/staging.rs
@@ -89,7 +89,7 @@
     let members = list_members(scene, site).into_iter();
     let others = members.filter(|runner| runner.served.is_some() && !runner.has_served(&largest.name));
     for runner in others.take(wanted) {
-        let holds = time_join(runner, largest) < largest.load;
+        let holds = time_join(runner, largest) < largest.load_time;
         if holds || desk.last_staged(runner) == Some(&largest.name) {
             continue;
         }
@@ -242,11 +242,11 @@
     fn count(scene: &Scene<'a>, models: &[Model], site: &Site<'a>, desk: &Desk) -> Stock<'a> {
         let rows = site.list_free().into_iter().map(|runner| {
             let asked = models.iter().find(|model| desk.last_staged(runner) == Some(&model.name));
-            let staging = asked.is_some_and(|model| time_join(runner, model) >= model.load);
+            let staging = asked.is_some_and(|model| time_join(runner, model) >= model.load_time);
             // What is on the host gives way to what is asked for.
             let holds = |model: &&Model| match asked {
                 Some(asked) => model.name == asked.name || runner.has_served(&model.name),
-                None => time_join(runner, model) < model.load,
+                None => time_join(runner, model) < model.load_time,
             };
             let held = models.iter().filter(holds).map(|model| model.name.clone()).collect();
             Row { runner, held, staging }
--- a/crates/fleet/src/throttle.rs
+++ b/crates/fleet/src/throttle.rs
@@ -10,7 +10,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::rate::Rate;
-use crate::runner::{Life, is_later};
+use crate::runner::{Incarnation, is_later};
 
 /// What a runner said of its rate in one answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -18,7 +18,7 @@
     /// The runner.
     pub runner: id::Runner,
     /// In which life, where that is told.
-    pub life: Option<Life>,
+    pub life: Option<Incarnation>,
     /// The rate it takes; none if it named none.
     pub rate: Option<Rate>,
     /// When the request was sent that it answered. It said so no sooner.
@@ -33,7 +33,7 @@
     /// The runner.
     pub runner: id::Runner,
     /// In which life, where that is told.
-    pub life: Option<Life>,
+    pub life: Option<Incarnation>,
     /// The rate it takes; none if it named none.
     pub rate: Option<Rate>,
     /// How long ago the request was sent.
@@ -115,7 +115,7 @@
     }
 
     /// The rate that a runner takes, if it has named one; `life` is the one it is known to be in.
-    pub fn find(&self, id: &id::Runner, life: Option<Life>) -> Option<Rate> {
+    pub fn find(&self, id: &id::Runner, life: Option<Incarnation>) -> Option<Rate> {
         let claim = self.0.get(id).filter(|claim| !is_later(life, claim.life))?;
         claim.rate
     }
--- a/crates/fleet/tests/backoff.rs
+++ b/crates/fleet/tests/backoff.rs
@@ -2,7 +2,7 @@
 
 use cottoncrank::{Millis, id};
 use cottoncrank_fleet::backoff::Table;
-use cottoncrank_fleet::runner::Life;
+use cottoncrank_fleet::runner::Incarnation;
 
 const NOW: Millis = Millis(10_000);
 
@@ -15,10 +15,10 @@
 #[test]
 fn a_backoff_lasts_as_long_as_it_says() {
     let (mut table, id) = (Table::default(), runner("a"));
-    assert!(table.put(&id, Some(Life(1)), SPAN, NOW));
-    assert_eq!(table.find(&id, Some(Life(1)), NOW), Some(NOW + SPAN));
-    assert_eq!(table.find(&id, Some(Life(1)), NOW + Millis(2999)), Some(NOW + SPAN));
-    assert_eq!(table.find(&id, Some(Life(1)), NOW + SPAN), None);
+    assert!(table.put(&id, Some(Incarnation(1)), SPAN, NOW));
+    assert_eq!(table.find(&id, Some(Incarnation(1)), NOW), Some(NOW + SPAN));
+    assert_eq!(table.find(&id, Some(Incarnation(1)), NOW + Millis(2999)), Some(NOW + SPAN));
+    assert_eq!(table.find(&id, Some(Incarnation(1)), NOW + SPAN), None);
     assert!(!table.is_empty(NOW) && table.is_empty(NOW + SPAN));
     assert_eq!(table.find(&runner("b"), None, NOW), None, "another runner wants requests");
 }
@@ -37,14 +37,14 @@
 #[test]
 fn a_life_owes_nothing_to_a_former_one() {
     let (mut table, id) = (Table::default(), runner("a"));
-    table.put(&id, Some(Life(5)), SPAN, NOW);
-    assert_eq!(table.find(&id, Some(Life(6)), NOW), None, "it has started again");
-    assert!(table.find(&id, Some(Life(5)), NOW).is_some());
+    table.put(&id, Some(Incarnation(5)), SPAN, NOW);
+    assert_eq!(table.find(&id, Some(Incarnation(6)), NOW), None, "it has started again");
+    assert!(table.find(&id, Some(Incarnation(5)), NOW).is_some());
     assert!(table.find(&id, None, NOW).is_some(), "nobody says that it has");
     // The later life asks for less, and an answer of the former one comes late.
-    assert!(table.put(&id, Some(Life(6)), Millis(1000), NOW));
-    assert!(!table.put(&id, Some(Life(5)), SPAN, NOW));
-    assert_eq!(table.find(&id, Some(Life(6)), NOW), Some(NOW + Millis(1000)));
+    assert!(table.put(&id, Some(Incarnation(6)), Millis(1000), NOW));
+    assert!(!table.put(&id, Some(Incarnation(5)), SPAN, NOW));
+    assert_eq!(table.find(&id, Some(Incarnation(6)), NOW), Some(NOW + Millis(1000)));
 }
 
 #[test]
--- a/crates/fleet/tests/belief.rs
+++ b/crates/fleet/tests/belief.rs
@@ -5,11 +5,11 @@
 use cottoncrank_fleet::balance::{Ledger, STALLED};
 use cottoncrank_fleet::catalog::{Account, Catalog, Kind, Limits, Route, Target};
 use cottoncrank_fleet::event::{EVENT_MAX, EventError, Splitter};
-use cottoncrank_fleet::freshness::{DEAF, Freshness, MARGIN};
+use cottoncrank_fleet::freshness::{Freshness, MAX_WATCH_DELAY, SAFETY_MARGIN};
 use cottoncrank_fleet::limit::Limit;
 use cottoncrank_fleet::plan::{Document, Group, Plans, State};
 use cottoncrank_fleet::probe::{Answer, Probes, Reported, SLOW, Sign};
-use cottoncrank_fleet::roster::{RETURN, Roster};
+use cottoncrank_fleet::roster::{RETURN_GRACE, Roster};
 use cottoncrank_fleet::runner::{Epoch, Membership, Phase, Runner};
 
 fn member(number: usize, rank: usize, phase: Phase) -> Runner {
@@ -25,7 +25,7 @@
         release: None,
         orders: None,
         served: None,
-        life: None,
+        incarnation: None,
         staged: Vec::new(),
         membership: Some(Membership { group: "g1".parse().unwrap(), epoch: Epoch(1), rank, phase }),
     }
@@ -68,20 +68,20 @@
 #[test]
 fn only_open_heads_of_planned_groups_take_requests() {
     let mut roster = Roster::default();
-    roster.put(member(0, 0, Phase::Open));
+    roster.insert(member(0, 0, Phase::Open));
     assert_eq!(heads(&roster, &plans(State::Active)), 1, "the decider looks after the other members");
     assert_eq!(heads(&roster, &plans(State::Closing)), 0, "the group is to take no more");
     assert_eq!(heads(&roster, &plans(State::Lost)), 0, "the group is given up");
     assert_eq!(heads(&roster, &Plans::new()), 0, "nobody planned it");
     for phase in [Phase::Joining, Phase::Ready, Phase::Closing, Phase::Broken] {
-        roster.put(member(0, 0, phase));
+        roster.insert(member(0, 0, phase));
         assert_eq!(heads(&roster, &plans(State::Active)), 0, "{phase:?}");
     }
-    roster.put(Runner { draining: true, ..member(0, 0, Phase::Open) });
+    roster.insert(Runner { draining: true, ..member(0, 0, Phase::Open) });
     assert_eq!(heads(&roster, &plans(State::Active)), 0, "the head is about to leave");
     let mut older = member(0, 0, Phase::Open);
     older.membership.as_mut().unwrap().epoch = Epoch(0);
-    roster.put(older);
+    roster.insert(older);
     assert_eq!(heads(&roster, &plans(State::Active)), 0, "it is open at an older epoch");
 }
 
@@ -90,26 +90,26 @@
     let mut roster = Roster::default();
     let (here, id) = (member(0, 0, Phase::Open), "r0".parse::<id::Runner>().unwrap());
     let now = Millis(100_000);
-    roster.put(here.clone());
-    roster.regain(now);
+    roster.insert(here.clone());
+    roster.start_grace_period(now);
     roster.remove(&id, now);
     assert!(roster.get(&id).is_some());
-    assert!(roster.expire(now + RETURN - Millis(1)).is_empty());
-    assert_eq!(roster.expire(now + RETURN), std::slice::from_ref(&id));
+    assert!(roster.expire(now + RETURN_GRACE - Millis(1)).is_empty());
+    assert_eq!(roster.expire(now + RETURN_GRACE), std::slice::from_ref(&id));
     assert!(roster.get(&id).is_none());
     // One that wrote itself in again stays.
-    roster.put(here.clone());
-    roster.regain(now);
+    roster.insert(here.clone());
+    roster.start_grace_period(now);
     roster.remove(&id, now);
-    roster.put(here);
-    assert!(roster.expire(now + RETURN).is_empty());
+    roster.insert(here);
+    assert!(roster.expire(now + RETURN_GRACE).is_empty());
     assert!(roster.get(&id).is_some());
 }
 
 #[test]
 fn without_trouble_an_entry_that_is_gone_is_gone() {
     let mut roster = Roster::default();
-    roster.put(member(0, 0, Phase::Open));
+    roster.insert(member(0, 0, Phase::Open));
     roster.remove(&"r0".parse().unwrap(), Millis(5));
     assert_eq!(roster.iter().count(), 0);
 }
@@ -123,17 +123,17 @@
     assert!(!freshness.allows(now, bound), "nothing is known yet");
     assert!(!freshness.allows(now, None), "nothing is known yet");
     freshness.prove_read(now);
-    assert!(freshness.allows(now + length - MARGIN - Millis(1), bound));
-    assert!(!freshness.allows(now + length - MARGIN, bound));
+    assert!(freshness.allows(now + length - SAFETY_MARGIN - Millis(1), bound));
+    assert!(!freshness.allows(now + length - SAFETY_MARGIN, bound));
     assert!(freshness.allows(now + length + length, None), "without a bound, any proof suffices");
     // A watch that heard nothing proves less: it may have been deaf.
     freshness.prove_watch(now, Millis(1500));
-    let proven = now + Millis(1500) - DEAF;
-    assert!(freshness.allows(proven + length - MARGIN - Millis(1), bound));
-    assert!(!freshness.allows(proven + length - MARGIN, bound));
+    let proven = now + Millis(1500) - MAX_WATCH_DELAY;
+    assert!(freshness.allows(proven + length - SAFETY_MARGIN - Millis(1), bound));
+    assert!(!freshness.allows(proven + length - SAFETY_MARGIN, bound));
     // A proof that comes late takes nothing back.
     freshness.prove_read(now - Millis(3000));
-    assert_eq!(freshness.age(now + Millis(1500)), Some(DEAF));
+    assert_eq!(freshness.age(now + Millis(1500)), Some(MAX_WATCH_DELAY));
 }
 
 fn answers(silent: &[usize], of: usize, hall: &str) -> Vec<Answer> {
@@ -235,12 +235,12 @@
         prefix: prefix.to_owned(),
         kind: Kind::Idempotent,
         timeout: Millis(1000),
-        objective: Millis(100),
-        gap: None,
+        target_latency: Millis(100),
+        target_gap: None,
         priority: 1,
         targets: targets.collect(),
         attempts: 2,
-        anonymous: false,
+        allow_anonymous: false,
         resumable: false,
     }
 }
@@ -253,7 +253,7 @@
         route("root", "/", &[("s", 1)]),
     ];
     let account = Account { id: "acme".parse().unwrap(), keys: vec!["k1".to_owned()], priority: Some(2) };
-    let limits = Limits { head_bytes: 1, body_bytes: 1, idle: Millis(1) };
+    let limits = Limits { max_head_bytes: 1, max_body_bytes: 1, idle_timeout: Millis(1) };
     let catalog = Catalog::new(1, routes, Vec::new(), vec![account], limits);
     let name = |host, path| catalog.find_route(host, path).map(|route| route.name.as_str());
     assert_eq!(name("h.example", "/a/b/c"), Some("long"));
--- a/crates/fleet/tests/census.rs
+++ b/crates/fleet/tests/census.rs
@@ -14,7 +14,14 @@
 
 fn engine() -> Engine {
     let (load, warm) = (Millis(12_000), Millis(1100));
-    let model = Model { name: "m".parse().unwrap(), size: 2, share: 1.0, load, warm, pace: 1.0 };
+    let model = Model {
+        name: "m".parse().unwrap(),
+        size: 2,
+        share: 1.0,
+        load_time: load,
+        warm_load_time: warm,
+        pace: 1.0,
+    };
     Engine { models: vec![model], loads_per_second: 5.0, loads_at_once: 7, speed: Speed::default() }
 }
 
@@ -31,7 +38,7 @@
         release: None,
         orders: None,
         served: None,
-        life: None,
+        incarnation: None,
         staged: Vec::new(),
         membership: place.map(|(group, rank, phase)| Membership {
             group: format!("g{group}").parse().unwrap(),
@@ -76,15 +83,15 @@
 #[test]
 fn every_runner_is_counted_once_by_what_it_does() {
     let mut roster = Roster::default();
-    roster.put(runner(0, Some((1, 0, Phase::Open))));
-    roster.put(runner(1, Some((1, 1, Phase::Ready))));
-    roster.put(runner(2, Some((2, 0, Phase::Joining))));
-    roster.put(runner(3, None));
-    roster.put(runner(4, Some((3, 0, Phase::Closing))));
-    roster.put(runner(5, Some((3, 1, Phase::Ready))));
-    roster.put(Runner { staged: vec!["m".parse().unwrap()], ..runner(6, None) });
-    roster.put(runner(7, None));
-    roster.put(Runner { draining: true, ..runner(8, None) });
+    roster.insert(runner(0, Some((1, 0, Phase::Open))));
+    roster.insert(runner(1, Some((1, 1, Phase::Ready))));
+    roster.insert(runner(2, Some((2, 0, Phase::Joining))));
+    roster.insert(runner(3, None));
+    roster.insert(runner(4, Some((3, 0, Phase::Closing))));
+    roster.insert(runner(5, Some((3, 1, Phase::Ready))));
+    roster.insert(Runner { staged: vec!["m".parse().unwrap()], ..runner(6, None) });
+    roster.insert(runner(7, None));
+    roster.insert(Runner { draining: true, ..runner(8, None) });
     let groups = vec![
         group(1, [0, 1], State::Active),
         group(2, [2, 3], State::Active),
--- a/crates/fleet/tests/dispatch.rs
+++ b/crates/fleet/tests/dispatch.rs
@@ -18,11 +18,24 @@
 
 const SLOTS: u32 = 14;
 
-const SPEED: Speed = Speed { step: 7.8, request: 0.0947, stride: 8.0, read: 45.9, answer: 156.0 };
+const SPEED: Speed = Speed {
+    step_ms: 7.8,
+    per_request_ms: 0.0947,
+    stride: 8.0,
+    prompt_tokens_per_ms: 45.9,
+    usual_answer_tokens: 156.0,
+};
 
 fn model() -> Model {
     let (load, warm) = (Millis(12_000), Millis(1100));
-    Model { name: "small".parse().unwrap(), size: 4, share: 1.0, load, warm, pace: 0.6 }
+    Model {
+        name: "small".parse().unwrap(),
+        size: 4,
+        share: 1.0,
+        load_time: load,
+        warm_load_time: warm,
+        pace: 0.6,
+    }
 }
 
 fn head(number: u64, hall: &str) -> Runner {
@@ -38,7 +51,7 @@
         release: None,
         orders: None,
         served: None,
-        life: None,
+        incarnation: None,
         staged: Vec::new(),
         membership: Some(Membership {
             group: format!("g{number}").parse().unwrap(),
@@ -376,8 +389,8 @@
     let mut dispatcher = Dispatcher::default();
     // The engine reads half of its time, and a request waits for two passes.
     let prompt = 2000;
-    let reading = model.pace * f64::from(prompt) / SPEED.read / 0.5;
-    let passes = 2.0 * SPEED.stride * model.pace * (SPEED.step + SPEED.request * 10.0);
+    let reading = model.pace * f64::from(prompt) / SPEED.prompt_tokens_per_ms / 0.5;
+    let passes = 2.0 * SPEED.stride * model.pace * (SPEED.step_ms + SPEED.per_request_ms * 10.0);
     let (mut now, mut read) = (1000.0, 0.0_f64);
     let (mut let_in, mut in_time) = (0, 0);
     let mut firsts: Vec<(f64, i64)> = Vec::new();
--- a/crates/fleet/tests/forgotten.rs
+++ b/crates/fleet/tests/forgotten.rs
@@ -7,7 +7,7 @@
 //! where those tell nothing.
 
 use cottoncrank::{Millis, id};
-use cottoncrank_fleet::directory::{Directory, Peer, Processor};
+use cottoncrank_fleet::directory::{Directory, Millicores, Peer};
 use cottoncrank_fleet::source::{Failure, Source, Sources};
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
@@ -27,8 +27,8 @@
 const HALLS: usize = 5;
 
 /// The processor time of the first boxes of a hall, and of all others.
-const LARGE: Processor = Processor(1000);
-const SMALL: Processor = Processor(120);
+const LARGE: Millicores = Millicores(1000);
+const SMALL: Millicores = Millicores(120);
 
 struct Follower {
     peer: Peer,
@@ -54,9 +54,9 @@
             address: "127.0.0.1:9".parse().unwrap(),
             processor: if number < large { LARGE } else { SMALL },
         };
-        directory.put(peer.clone());
+        directory.insert(peer.clone());
         let mut sources = Sources::new(BOUND);
-        sources.note_answer(Millis(0), Millis(0));
+        sources.record_answer(Millis(0), Millis(0));
         let next = Millis(1 + (at as u64 * 37) % WAIT.0);
         followers.push(Follower { peer, sources, next, forgotten: false, serving: true, knows: None });
     }
@@ -105,43 +105,43 @@
     };
     match source {
         Source::Store if me.knows.is_some() => {
-            me.sources.note_store_answer(now);
+            me.sources.record_store_answer(now);
             WAIT
         }
         Source::Store if !me.forgotten => {
             me.forgotten = true;
-            me.sources.note_forgotten(&node, &hall, deciding, directory, now, rng);
+            me.sources.record_compaction(&node, &hall, deciding, directory, now, rng);
             CALL
         }
         Source::Store => {
             *wholes += 1;
             let took = if processor == LARGE { WHOLE } else { WHOLE_SMALL };
-            me.sources.note_store_answer(now + took);
+            me.sources.record_store_answer(now + took);
             (me.knows, me.serving) = (Some(now + took), true);
             took
         }
-        Source::Reader(asked) | Source::Senior(asked) => {
+        Source::Reader(asked) | Source::Upstream(asked) => {
             let other = followers.iter().find(|other| other.peer.node == asked.node).unwrap();
             let told = other.knows.filter(|at| *at <= now);
             let serving = other.serving && !other.forgotten || told.is_some();
             let me = &mut followers[at];
             match (told, serving) {
                 (Some(_), _) => {
-                    me.sources.note_answer(now, now);
+                    me.sources.record_answer(now, now);
                     (me.knows, me.forgotten, me.serving) = (Some(now + ASK), false, true);
                     WAIT
                 }
                 (None, true) => {
-                    me.sources.note_answer(now, now);
+                    me.sources.record_answer(now, now);
                     ASK + Millis(20)
                 }
                 (None, false) => {
-                    me.sources.note_failure(asked.node, Failure::Unsure, now);
+                    me.sources.record_failure(asked.node, Failure::Stale, now);
                     ASK
                 }
             }
         }
-        Source::Nobody(pause) => pause.max(CALL),
+        Source::Wait(pause) => pause.max(CALL),
     }
 }
 
--- a/crates/fleet/tests/form.rs
+++ b/crates/fleet/tests/form.rs
@@ -58,7 +58,7 @@
     let mut world = World::new(0);
     for number in 0..10 {
         for domain in 0..6 {
-            world.roster.put(runner(domain, number));
+            world.roster.insert(runner(domain, number));
         }
         world.run(1);
     }
@@ -73,7 +73,7 @@
 fn a_domain_that_never_gets_enough_runners_for_a_large_group_serves_small_ones() {
     let mut world = World::new(0);
     for number in 0..3 {
-        world.roster.put(runner(0, number));
+        world.roster.insert(runner(0, number));
     }
     world.run(60);
     assert_eq!((world.count("large"), world.count("small")), (0, 1));
@@ -134,7 +134,7 @@
         rank: 0,
         phase: Phase::Ready,
     });
-    world.roster.put(seen);
+    world.roster.insert(seen);
     world.run(1);
     let epochs: Vec<u64> = world.groups().map(|group| group.epoch.0).collect();
     assert!(epochs.iter().all(|epoch| *epoch > 90), "{epochs:?}");
@@ -216,7 +216,7 @@
         let lost: Vec<id::Runner> = groups.flat_map(|group| group.members.clone()).collect();
         for (number, id) in lost.iter().enumerate() {
             world.crash(id);
-            world.roster.put(runner(at, 100 + number));
+            world.roster.insert(runner(at, 100 + number));
         }
     }
     let groups = world.plans[&site].groups.iter();
@@ -245,7 +245,7 @@
     for id in &lost.members {
         let mut runner = world.roster.get(id).unwrap().clone();
         runner.membership = None;
-        world.roster.put(runner);
+        world.roster.insert(runner);
     }
     world.plans.get_mut(&site).unwrap().groups.retain(|group| group.name != lost.name);
     world.run(10);
@@ -265,7 +265,7 @@
     for (at, id) in small.enumerate() {
         let mut runner = world.roster.get(id).unwrap().clone();
         runner.staged = vec![if at == 0 { "large" } else { "small" }.parse().unwrap()];
-        world.roster.put(runner);
+        world.roster.insert(runner);
     }
     world.memory = Memory::default();
     // Another domain has lost its large group as a whole: that model lacks more.
--- a/crates/fleet/tests/gossip.rs
+++ b/crates/fleet/tests/gossip.rs
@@ -3,12 +3,12 @@
 use std::collections::BTreeSet;
 
 use cottoncrank::{Millis, id};
-use cottoncrank_fleet::breaks::{Break, Breaks, KEPT};
 use cottoncrank_fleet::evidence::{Crash, Level, Row};
 use cottoncrank_fleet::fingerprint::{Fingerprint, Request};
-use cottoncrank_fleet::gossip::{Book, answer};
+use cottoncrank_fleet::gossip::{Peers, build_pull};
+use cottoncrank_fleet::interruptions::{INTERRUPTION_TTL, Interruption, Interruptions};
 use cottoncrank_fleet::occupancy::Scope;
-use cottoncrank_fleet::runner::Life;
+use cottoncrank_fleet::runner::Incarnation;
 use cottoncrank_fleet::suspects::{Origin, Table};
 
 const NOW: Millis = Millis(1000);
@@ -35,12 +35,12 @@
     name: id::Node,
     instance: u64,
     table: Table,
-    book: Book,
+    book: Peers,
 }
 
 impl Node {
     fn new(name: &str, instance: u64) -> Node {
-        Node { name: name.parse().unwrap(), instance, table: Table::default(), book: Book::default() }
+        Node { name: name.parse().unwrap(), instance, table: Table::default(), book: Peers::default() }
     }
 
     fn see(&mut self, name: &str, runners: &[u64]) {
@@ -49,13 +49,13 @@
 
     /// Tells `other` and hears from it. Returns how many rows went there and back.
     fn exchange(&mut self, other: &mut Node, scope: Scope) -> (usize, usize) {
-        let (push, upto) = self.book.write(&self.table, &other.name);
+        let (push, upto) = self.book.build_push(&self.table, &other.name);
         let origin = if scope == Scope::Node { Origin::Hall } else { Origin::Elsewhere };
         for row in &push.rows {
             other.table.merge(row, origin, NOW);
         }
-        let pull = answer(&other.table, other.instance, &push, scope);
-        self.book.note(&other.name, upto, pull.mark);
+        let pull = build_pull(&other.table, other.instance, &push, scope);
+        self.book.record_pull(&other.name, upto, pull.mark);
         for row in &pull.rows {
             self.table.merge(row, Origin::Elsewhere, NOW);
         }
@@ -117,11 +117,11 @@
     assert_eq!(node.level("k"), Level::Pending(3));
 }
 
-fn broken(name: &str, life: u64, at: Millis) -> Break {
-    Break {
+fn broken(name: &str, life: u64, at: Millis) -> Interruption {
+    Interruption {
         row: row(name, &[1]),
         runner: "r-1".parse().unwrap(),
-        life: Some(Life(life)),
+        incarnation: Some(Incarnation(life)),
         address: "10.0.0.1:80".parse().unwrap(),
         at,
     }
@@ -131,20 +131,20 @@
 fn a_later_life_or_another_runner_at_the_address_tells_that_a_runner_has_ended() {
     let (runner, other): (id::Runner, id::Runner) = ("r-1".parse().unwrap(), "r-2".parse().unwrap());
     let address = "10.0.0.1:80".parse().unwrap();
-    let mut breaks = Breaks::default();
-    breaks.note(broken("a", 5, NOW));
-    assert!(breaks.take_former(&runner, Life(5), NOW).is_empty(), "it lives on");
-    assert!(breaks.take_former(&other, Life(9), NOW).is_empty());
+    let mut breaks = Interruptions::default();
+    breaks.record(broken("a", 5, NOW));
+    assert!(breaks.take_earlier(&runner, Incarnation(5), NOW).is_empty(), "it lives on");
+    assert!(breaks.take_earlier(&other, Incarnation(9), NOW).is_empty());
     assert!(breaks.take_replaced(&runner, address, NOW).is_empty(), "it is that runner itself");
-    assert_eq!(breaks.take_former(&runner, Life(6), NOW), [row("a", &[1])]);
-    assert!(breaks.take_former(&runner, Life(7), NOW).is_empty(), "each counts once");
-    breaks.note(broken("b", 6, NOW));
+    assert_eq!(breaks.take_earlier(&runner, Incarnation(6), NOW), [row("a", &[1])]);
+    assert!(breaks.take_earlier(&runner, Incarnation(7), NOW).is_empty(), "each counts once");
+    breaks.record(broken("b", 6, NOW));
     assert_eq!(breaks.take_replaced(&other, address, NOW), [row("b", &[1])]);
     // One that was asked in that life and has ended since.
-    breaks.note(broken("d", 6, NOW));
-    assert!(breaks.take_ended(&runner, Some(Life(5)), NOW).is_empty());
-    assert_eq!(breaks.take_ended(&runner, Some(Life(6)), NOW), [row("d", &[1])]);
+    breaks.record(broken("d", 6, NOW));
+    assert!(breaks.take_crashed(&runner, Some(Incarnation(5)), NOW).is_empty());
+    assert_eq!(breaks.take_crashed(&runner, Some(Incarnation(6)), NOW), [row("d", &[1])]);
     // A runner that ends much later did not end under it.
-    breaks.note(broken("c", 6, NOW));
-    assert!(breaks.take_former(&runner, Life(7), NOW + KEPT).is_empty());
+    breaks.record(broken("c", 6, NOW));
+    assert!(breaks.take_earlier(&runner, Incarnation(7), NOW + INTERRUPTION_TTL).is_empty());
 }
--- a/crates/fleet/tests/instant/mod.rs
+++ b/crates/fleet/tests/instant/mod.rs
@@ -13,7 +13,7 @@
 use cottoncrank_fleet::plan::{Group, Plans};
 use cottoncrank_fleet::probe::{Answer, Probes, Reported};
 use cottoncrank_fleet::roster::Roster;
-use cottoncrank_fleet::runner::{Life, Membership, Phase, Runner};
+use cottoncrank_fleet::runner::{Incarnation, Membership, Phase, Runner};
 use cottoncrank_fleet::scene::Scene;
 use cottoncrank_fleet::settings::Ceiling;
 
@@ -35,7 +35,7 @@
     /// Runners at whose address another one answers.
     pub reborn: HashSet<id::Runner>,
     /// The lives that runners tell when they are asked.
-    pub told: HashMap<id::Runner, Life>,
+    pub told: HashMap<id::Runner, Incarnation>,
     /// Runners that turn requests away, and what is in flight at each group, if that is known.
     pub refusing: BTreeSet<id::Runner>,
     pub in_flight: Option<Counts>,
@@ -46,11 +46,11 @@
 }
 
 /// The first life of every runner.
-pub const FIRST: Life = Life(1_700_000_000_000);
+pub const FIRST: Incarnation = Incarnation(1_700_000_000_000);
 
 pub fn model(name: &str, size: usize, load: u64, warm: u64) -> Model {
     let (load, warm) = (Millis(load), Millis(warm));
-    Model { name: name.parse().unwrap(), size, share: 0.5, load, warm, pace: 1.0 }
+    Model { name: name.parse().unwrap(), size, share: 0.5, load_time: load, warm_load_time: warm, pace: 1.0 }
 }
 
 pub fn service() -> Service {
@@ -72,7 +72,7 @@
         release: None,
         orders: None,
         served: None,
-        life: Some(FIRST),
+        incarnation: Some(FIRST),
         staged: Vec::new(),
         membership: None,
     }
@@ -84,7 +84,7 @@
         let mut roster = Roster::default();
         for domain in 0..domains {
             for number in 0..10 {
-                roster.put(runner(domain, number));
+                roster.insert(runner(domain, number));
             }
         }
         World {
@@ -126,7 +126,7 @@
         let round: Vec<Answer> = members.iter().map(answer).collect();
         for answer in &round {
             if let Some(life) = answer.life {
-                self.roster.note_life(&answer.runner, life);
+                self.roster.record_incarnation(&answer.runner, life);
             }
         }
         self.probes.take(&round);
@@ -177,8 +177,13 @@
                 Order::Stage(_) if self.loading => {}
                 Order::Stage(model) => runner.staged = vec![model.clone()],
             }
-            self.roster.put(runner);
-            self.memory.note_taken(id, self.roster.get(id).and_then(|runner| runner.life), order, self.now);
+            self.roster.insert(runner);
+            self.memory.note_taken(
+                id,
+                self.roster.get(id).and_then(|runner| runner.incarnation),
+                order,
+                self.now,
+            );
         }
     }
 
@@ -208,18 +213,18 @@
     }
 
     /// A runner starts again under its id, and its entry tells of it.
-    pub fn restart(&mut self, id: &id::Runner) -> Life {
-        let mut runner = self.roster.recall(id).unwrap().clone();
-        let life = Life(runner.life.unwrap().0 + 300);
+    pub fn restart(&mut self, id: &id::Runner) -> Incarnation {
+        let mut runner = self.roster.get_last_known(id).unwrap().clone();
+        let life = Incarnation(runner.incarnation.unwrap().0 + 300);
         runner.restart(life);
         self.told.insert(id.clone(), life);
-        self.roster.put(runner);
+        self.roster.insert(runner);
         life
     }
 
     /// A runner starts again under its id, and says so when it is asked.
-    pub fn restart_unwritten(&mut self, id: &id::Runner) -> Life {
-        let life = Life(self.roster.recall(id).unwrap().life.unwrap().0 + 300);
+    pub fn restart_unwritten(&mut self, id: &id::Runner) -> Incarnation {
+        let life = Incarnation(self.roster.get_last_known(id).unwrap().incarnation.unwrap().0 + 300);
         self.told.insert(id.clone(), life);
         self.probe(&[]);
         life
--- a/crates/fleet/tests/lives.rs
+++ b/crates/fleet/tests/lives.rs
@@ -9,12 +9,12 @@
 use cottoncrank_fleet::order::{Order, REPEAT};
 use cottoncrank_fleet::plan::Group;
 use cottoncrank_fleet::probe::{Probes, Sign};
-use cottoncrank_fleet::roster::{Notice, Roster};
-use cottoncrank_fleet::runner::{Life, Phase, Runner};
+use cottoncrank_fleet::roster::{Roster, Update};
+use cottoncrank_fleet::runner::{Incarnation, Phase, Runner};
 use instant::{FIRST, World, at_rest, runner};
 
 /// How a new life becomes known.
-const WAYS: [fn(&mut World, &id::Runner) -> Life; 2] = [World::restart, World::restart_unwritten];
+const WAYS: [fn(&mut World, &id::Runner) -> Incarnation; 2] = [World::restart, World::restart_unwritten];
 
 /// A group that serves again, none of whose members is planned in a former life.
 fn assert_served(world: &World, model: &str, groups: usize) {
@@ -27,7 +27,7 @@
     for group in open {
         for member in &group.members {
             let runner = world.roster.get(member).unwrap();
-            assert_eq!(group.find_life(member), runner.life, "{member} in {}", group.name);
+            assert_eq!(group.find_life(member), runner.incarnation, "{member} in {}", group.name);
             let place = runner.membership.as_ref().unwrap();
             assert_eq!((&place.group, place.epoch), (&group.name, group.epoch), "{member}");
         }
@@ -48,7 +48,7 @@
         assert!(before.has_served(&model));
         let life = restart(&mut world, &member);
         let known = world.roster.get(&member).unwrap();
-        assert_eq!(known.life, Some(life));
+        assert_eq!(known.incarnation, Some(life));
         assert!(!known.has_served(&model), "it would be taken to join without a load");
         assert!(known.membership.is_none() && known.models.is_empty());
         assert_eq!(known.staged, before.staged, "its host keeps its models");
@@ -61,16 +61,16 @@
     let group = world.find("large");
     let old = world.roster.get(&group.members[2]).unwrap().clone();
     let life = world.restart_unwritten(&old.id);
-    assert_eq!(world.roster.put(old.clone()), Notice::Outdated);
-    assert_eq!(world.roster.get(&old.id).unwrap().life, Some(life));
+    assert_eq!(world.roster.insert(old.clone()), Update::Outdated);
+    assert_eq!(world.roster.get(&old.id).unwrap().incarnation, Some(life));
     assert!(world.roster.get(&old.id).unwrap().membership.is_none());
     // Nor do they where the entry lapsed in between.
     world.lapse(&old.id);
-    assert_eq!(world.roster.put(old.clone()), Notice::Outdated);
+    assert_eq!(world.roster.insert(old.clone()), Update::Outdated);
     assert!(world.roster.get(&old.id).is_none());
     let mut fresh = runner(0, 0);
-    (fresh.id, fresh.life) = (old.id.clone(), Some(life));
-    assert_eq!(world.roster.put(fresh), Notice::Known);
+    (fresh.id, fresh.incarnation) = (old.id.clone(), Some(life));
+    assert_eq!(world.roster.insert(fresh), Update::Current);
 }
 
 #[test]
@@ -78,9 +78,9 @@
     let mut world = at_rest(1);
     let known = world.find("small").members[0].clone();
     let mut untold = world.roster.get(&known).unwrap().clone();
-    untold.life = None;
-    assert_eq!(world.roster.put(untold), Notice::Known);
-    assert_eq!(world.roster.get(&known).unwrap().life, Some(FIRST));
+    untold.incarnation = None;
+    assert_eq!(world.roster.insert(untold), Update::Current);
+    assert_eq!(world.roster.get(&known).unwrap().incarnation, Some(FIRST));
 }
 
 #[test]
@@ -180,7 +180,7 @@
     world.loading = true;
     // A fresh spare runner comes, and is told to load a model.
     let spare = runner(0, 77);
-    world.roster.put(spare.clone());
+    world.roster.insert(spare.clone());
     let mut told = 0;
     for _ in 0..40 {
         let step = world.step();
@@ -206,7 +206,7 @@
         let group = world.find("small");
         let mut leaving: Runner = world.roster.get(&group.members[1]).unwrap().clone();
         leaving.draining = true;
-        world.roster.put(leaving);
+        world.roster.insert(leaving);
         let step = world.step();
         let close = Order::Close(group.name.clone(), group.epoch);
         assert!(step.orders.contains(&(group.members[0].clone(), close)));
@@ -255,8 +255,8 @@
     let mut vanished = world.roster.get(&group.members[2]).unwrap().clone();
     vanished.membership = None;
     vanished.models.clear();
-    vanished.life = None;
-    world.roster.put(vanished);
+    vanished.incarnation = None;
+    world.roster.insert(vanished);
     let step = world.step();
     let leave = Order::Leave(group.name.clone(), group.epoch);
     assert!(step.orders.contains(&(group.members[0].clone(), leave)));
@@ -269,7 +269,7 @@
     let group = world.find("large");
     let mut leaving = world.roster.get(&group.members[3]).unwrap().clone();
     leaving.draining = true;
-    world.roster.put(leaving);
+    world.roster.insert(leaving);
     let close = Order::Close(group.name.clone(), group.epoch);
     assert!(world.step().orders.contains(&(group.members[0].clone(), close.clone())));
     // The head has started again and refuses: it is in no group. Nothing else is known.
@@ -297,32 +297,32 @@
     let (service, id) = ("llm".parse().unwrap(), runner(0, 0).id);
     let count = |roster: &Roster| roster.list_plain(&service).len();
     let mut roster = Roster::default();
-    roster.put(runner(0, 0));
-    assert!(roster.note_leaving(&id, Some(FIRST)));
-    assert!(!roster.note_leaving(&id, Some(FIRST)), "it is known already");
+    roster.insert(runner(0, 0));
+    assert!(roster.record_leaving(&id, Some(FIRST)));
+    assert!(!roster.record_leaving(&id, Some(FIRST)), "it is known already");
     assert_eq!(count(&roster), 0);
     // Its entry lags behind, lapses, and comes back.
-    roster.put(runner(0, 0));
+    roster.insert(runner(0, 0));
     assert_eq!(count(&roster), 0);
     roster.remove(&id, Millis(10_000));
-    roster.put(runner(0, 0));
+    roster.insert(runner(0, 0));
     assert_eq!(count(&roster), 0);
-    let later = Life(FIRST.0 + 1);
-    roster.put(Runner { life: Some(later), ..runner(0, 0) });
+    let later = Incarnation(FIRST.0 + 1);
+    roster.insert(Runner { incarnation: Some(later), ..runner(0, 0) });
     assert_eq!(count(&roster), 1, "it has started again");
-    assert!(!roster.note_leaving(&id, Some(FIRST)), "an answer of its former life says nothing");
+    assert!(!roster.record_leaving(&id, Some(FIRST)), "an answer of its former life says nothing");
     assert_eq!(count(&roster), 1);
-    assert!(roster.note_leaving(&id, None), "where lives are not told, it is about this one");
-    assert!(!roster.note_leaving(&"r9-9".parse().unwrap(), None), "nobody knows it");
+    assert!(roster.record_leaving(&id, None), "where lives are not told, it is about this one");
+    assert!(!roster.record_leaving(&"r9-9".parse().unwrap(), None), "nobody knows it");
 }
 
 #[test]
 fn a_later_life_that_is_told_in_a_report_is_not_leaving() {
     let (service, id) = ("llm".parse().unwrap(), runner(0, 0).id);
     let mut roster = Roster::default();
-    roster.put(runner(0, 0));
-    roster.note_leaving(&id, Some(FIRST));
-    assert!(roster.note_life(&id, Life(FIRST.0 + 1)));
+    roster.insert(runner(0, 0));
+    roster.record_leaving(&id, Some(FIRST));
+    assert!(roster.record_incarnation(&id, Incarnation(FIRST.0 + 1)));
     assert_eq!(roster.list_plain(&service).len(), 1);
 }
 
@@ -330,19 +330,19 @@
 fn an_entry_of_an_earlier_moment_of_a_life_is_passed_over() {
     let told = |orders, life, staged: &[&str]| Runner {
         orders,
-        life,
+        incarnation: life,
         staged: staged.iter().map(|model| model.parse().unwrap()).collect(),
         ..runner(0, 0)
     };
     let mut roster = Roster::default();
-    roster.put(told(Some(3), Some(FIRST), &["large"]));
-    assert_eq!(roster.put(told(Some(2), Some(FIRST), &[])), Notice::Outdated);
+    roster.insert(told(Some(3), Some(FIRST), &["large"]));
+    assert_eq!(roster.insert(told(Some(2), Some(FIRST), &[])), Update::Outdated);
     assert_eq!(roster.get(&runner(0, 0).id).unwrap().staged.len(), 1);
-    assert_eq!(roster.put(told(Some(3), Some(FIRST), &[])), Notice::Known, "a change without an order");
-    assert_eq!(roster.put(told(None, Some(FIRST), &[])), Notice::Known, "it does not say");
+    assert_eq!(roster.insert(told(Some(3), Some(FIRST), &[])), Update::Current, "a change without an order");
+    assert_eq!(roster.insert(told(None, Some(FIRST), &[])), Update::Current, "it does not say");
     // In a later life it counts anew, and where lives are not told nothing can be concluded.
-    roster.put(told(Some(3), Some(FIRST), &[]));
-    assert_eq!(roster.put(told(Some(0), Some(Life(FIRST.0 + 1)), &[])), Notice::Restarted);
-    assert_eq!(roster.put(told(Some(4), None, &[])), Notice::Known);
-    assert_eq!(roster.put(told(Some(1), None, &[])), Notice::Known);
+    roster.insert(told(Some(3), Some(FIRST), &[]));
+    assert_eq!(roster.insert(told(Some(0), Some(Incarnation(FIRST.0 + 1)), &[])), Update::Restarted);
+    assert_eq!(roster.insert(told(Some(4), None, &[])), Update::Current);
+    assert_eq!(roster.insert(told(Some(1), None, &[])), Update::Current);
 }
--- a/crates/fleet/tests/loss.rs
+++ b/crates/fleet/tests/loss.rs
@@ -138,7 +138,7 @@
     let group = world.find("large");
     let mut leaving = world.roster.get(&group.members[3]).cloned().unwrap();
     leaving.draining = true;
-    world.roster.put(leaving);
+    world.roster.insert(leaving);
     let step = world.step();
     let close = Order::Close(group.name.clone(), group.epoch);
     assert!(step.orders.contains(&(group.members[0].clone(), close)), "{:?}", step.orders);
@@ -177,7 +177,7 @@
         phase: Phase::Joining,
     };
     stray.membership = Some(old.clone());
-    world.roster.put(stray.clone());
+    world.roster.insert(stray.clone());
     let step = world.step();
     assert!(step.orders.contains(&(stray.id, Order::Leave(old.group, old.epoch))));
 }
@@ -273,7 +273,7 @@
         world.crash(&victim);
         let mut fresh = runner(0, 100 + turn);
         fresh.domain = domain;
-        world.roster.put(fresh);
+        world.roster.insert(fresh);
         world.run(40);
         world.now = world.now + Millis(60_000);
         world.run(1);
@@ -298,13 +298,13 @@
     world.probe(&[]);
     world.run(3);
     // The member is back first. The head may still be open: it was not reached.
-    world.roster.put(returning);
+    world.roster.insert(returning);
     world.probe(std::slice::from_ref(&head));
     world.run(5);
     let taken = |world: &World| world.groups().any(|g| !g.is_retired() && g.members.contains(&member));
     assert!(!taken(&world), "{:?}", world.plans);
     // Without its member the head has broken after a time, and another runner comes.
-    world.roster.put(runner(0, 50));
+    world.roster.insert(runner(0, 50));
     world.loading = false;
     world.now = world.now + STALL + STALL_MARGIN;
     world.probe(&[head]);
@@ -324,7 +324,7 @@
     let group = world.find("large");
     let mut leaving = world.roster.get(&group.members[2]).unwrap().clone();
     leaving.draining = true;
-    world.roster.put(leaving);
+    world.roster.insert(leaving);
     let others = world.count("small");
     for round in 0..10 {
         world.run(1);
--- a/crates/fleet/tests/occupancy.rs
+++ b/crates/fleet/tests/occupancy.rs
@@ -23,7 +23,7 @@
         release: None,
         orders: None,
         served: None,
-        life: None,
+        incarnation: None,
         staged: Vec::new(),
         membership: Some(Membership {
             group: format!("g{number}").parse().unwrap(),
--- a/crates/fleet/tests/outbreak/mod.rs
+++ b/crates/fleet/tests/outbreak/mod.rs
@@ -12,11 +12,11 @@
 use cottoncrank::{Millis, id};
 use cottoncrank_fleet::evidence::{Crash, Level, Row};
 use cottoncrank_fleet::fingerprint::{self, Fingerprint};
-use cottoncrank_fleet::gossip::{Book, answer};
+use cottoncrank_fleet::gossip::{Peers, build_pull};
 use cottoncrank_fleet::occupancy::Scope;
-use cottoncrank_fleet::runner::{Epoch, Life};
-use cottoncrank_fleet::suspects::{ENOUGH, Origin, Table};
-use cottoncrank_fleet::trials::{Ruling, Takers, Trials};
+use cottoncrank_fleet::runner::{Epoch, Incarnation};
+use cottoncrank_fleet::suspects::{MIN_CRASHES, Origin, Table};
+use cottoncrank_fleet::trials::{Capacity, Ruling, Trials};
 use rand::rngs::SmallRng;
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
@@ -234,7 +234,7 @@
     name: id::Node,
     hall: usize,
     table: Table,
-    book: Book,
+    book: Peers,
     trials: Trials,
     lost: bool,
 }
@@ -272,7 +272,7 @@
             name: format!("n-{number}").parse().unwrap(),
             hall: number % day.size.halls,
             table: Table::default(),
-            book: Book::default(),
+            book: Peers::default(),
             trials: Trials::default(),
             lost: false,
         };
@@ -357,11 +357,11 @@
     /// What a node holds a request for.
     fn level(&self, node: usize, number: usize) -> Level {
         let (table, fingerprint) = (&self.nodes[node].table, fingerprint(number));
-        let counted = table.get(&fingerprint).map_or(0, Row::count);
+        let counted = table.get(&fingerprint).map_or(0, Row::count_crashes);
         match self.day.way {
             Way::None => Level::Clear,
             Way::Count if counted == 0 => Level::Clear,
-            Way::Count if counted < ENOUGH => Level::Suspected(counted),
+            Way::Count if counted < MIN_CRASHES => Level::Suspected(counted),
             Way::Count => Level::Deadly(counted),
             Way::Explained | Way::Trial => table.level(&fingerprint),
         }
@@ -372,7 +372,7 @@
         for row in rows {
             let (now, node_at) = (self.now, node);
             let known = &mut self.nodes[node_at];
-            known.trials.end(&row.fingerprint);
+            known.trials.finish(&row.fingerprint);
             known.table.merge(row, origin, now);
         }
         self.note_known(node);
@@ -381,13 +381,13 @@
     /// A node exchanges with another one what both know.
     fn exchange(&mut self, from: usize, to: usize, scope: Scope) {
         let name = self.nodes[to].name.clone();
-        let (push, upto) = self.nodes[from].book.write(&self.nodes[from].table, &name);
+        let (push, upto) = self.nodes[from].book.build_push(&self.nodes[from].table, &name);
         let origin = if scope == Scope::Node { Origin::Hall } else { Origin::Elsewhere };
         if !push.rows.is_empty() {
             self.take(to, &push.rows, origin);
         }
-        let pull = answer(&self.nodes[to].table, to as u64, &push, scope);
-        self.nodes[from].book.note(&name, upto, pull.mark);
+        let pull = build_pull(&self.nodes[to].table, to as u64, &push, scope);
+        self.nodes[from].book.record_pull(&name, upto, pull.mark);
         if !pull.rows.is_empty() {
             self.take(from, &pull.rows, Origin::Elsewhere);
         }
@@ -406,18 +406,20 @@
         let open: Vec<usize> =
             (0..self.groups.len()).filter(|group| has_room(&self.groups[*group])).collect();
         let (now, print) = (self.now, fingerprint(number));
-        let takers =
-            Takers { now: self.groups.iter().filter(|group| group.open).count(), usual: self.groups.len() };
+        let takers = Capacity {
+            available: self.groups.iter().filter(|group| group.open).count(),
+            usual: self.groups.len(),
+        };
         let trials = &self.nodes[collector].trials;
         let ruling = match (self.day.way, level) {
-            (Way::Trial, level) => trials.rule(&print, level, takers, now),
-            (_, Level::Deadly(_)) => Ruling::Refuse,
+            (Way::Trial, level) => trials.decide(&print, level, takers, now),
+            (_, Level::Deadly(_)) => Ruling::Reject,
             _ => Ruling::Run,
         };
         let apart = match ruling {
             Ruling::Run => Vec::new(),
-            Ruling::Trial => trials.list_groups(&print, now),
-            Ruling::Hold | Ruling::Refuse => return Err(ruling),
+            Ruling::Trial => trials.list_trial_groups(&print, now),
+            Ruling::Quarantine | Ruling::Reject => return Err(ruling),
         };
         let usable: Vec<usize> =
             open.iter().copied().filter(|group| !apart.contains(&Epoch(*group as u64))).collect();
@@ -425,9 +427,9 @@
         let least = usable.iter().map(|group| self.groups[*group].running.len()).min();
         let best: Vec<usize> =
             usable.into_iter().filter(|group| Some(self.groups[*group].running.len()) == least).collect();
-        let Some(group) = best.choose(&mut self.rng).copied() else { return Err(Ruling::Hold) };
+        let Some(group) = best.choose(&mut self.rng).copied() else { return Err(Ruling::Quarantine) };
         if ruling == Ruling::Trial {
-            self.nodes[collector].trials.begin(print, Some(Epoch(group as u64)), now);
+            self.nodes[collector].trials.start(print, Some(Epoch(group as u64)), now);
         }
         Ok(group)
     }
@@ -437,16 +439,16 @@
             request.node = self.collector(self.nodes[request.node].hall);
         }
         let refused = match self.level(request.node, request.number) {
-            Level::Deadly(_) => Err(Ruling::Refuse),
-            Level::Pending(_) if self.day.way == Way::Trial => Err(Ruling::Hold),
+            Level::Deadly(_) => Err(Ruling::Reject),
+            Level::Pending(_) if self.day.way == Way::Trial => Err(Ruling::Quarantine),
             Level::Clear | Level::Suspected(_) | Level::Pending(_) => {
                 self.choose(request.node, request.number)
             }
         };
         match refused {
             Ok(group) => self.begin(request, group),
-            Err(Ruling::Refuse) if !self.is_deadly(request.number) => self.outcome.wronged += 1,
-            Err(Ruling::Hold) => {
+            Err(Ruling::Reject) if !self.is_deadly(request.number) => self.outcome.wronged += 1,
+            Err(Ruling::Quarantine) => {
                 self.outcome.held += usize::from(!self.is_deadly(request.number));
                 self.come_again(request, Millis(600));
             }
@@ -486,8 +488,8 @@
         self.outcome.served += 1;
         let print = fingerprint(request.number);
         let (now, node) = (self.now, &mut self.nodes[request.node]);
-        node.table.note_completed(&print, now);
-        node.trials.end(&print);
+        node.table.record_completed(&print, now);
+        node.trials.finish(&print);
     }
 
     fn end(&mut self, group: usize, life: u64) {
@@ -500,7 +502,7 @@
         self.groups[group].life += 1;
         self.plan(away, Event::Back { group });
         let runner: id::Runner = format!("r-{group}").parse().unwrap();
-        let crash = Crash { runner, life: Some(Life(life)), nth: 0, release: None };
+        let crash = Crash { runner, life: Some(Incarnation(life)), nth: 0, release: None };
         let killers: BTreeSet<usize> =
             ended.iter().map(|request| request.number).filter(|number| self.is_deadly(*number)).collect();
         for number in killers {
@@ -549,7 +551,7 @@
             let due = table.list_unstored().into_iter().filter(|(_, since)| self.now >= *since + turn);
             let rows: Vec<Row> = due.map(|(row, _)| row.clone()).collect();
             for row in rows {
-                self.nodes[collector].table.note_stored(&row);
+                self.nodes[collector].table.record_stored(&row);
                 self.store.insert(row.fingerprint, row.clone());
                 let after = self.between(STORE);
                 self.plan(after, Event::Stored { fingerprint: row.fingerprint });
@@ -581,7 +583,7 @@
         let row = self.store[&fingerprint].clone();
         for node in 0..self.day.size.nodes {
             self.take(node, std::slice::from_ref(&row), Origin::Elsewhere);
-            self.nodes[node].table.note_stored(&row);
+            self.nodes[node].table.record_stored(&row);
         }
     }
 
--- a/crates/fleet/tests/presence.rs
+++ b/crates/fleet/tests/presence.rs
@@ -8,8 +8,8 @@
 use std::collections::BTreeSet;
 
 use cottoncrank::{Millis, id};
-use cottoncrank_fleet::directory::{Directory, Peer, Processor};
-use cottoncrank_fleet::presence::{ABSENT, ABSENT_MANY, Presence};
+use cottoncrank_fleet::directory::{Directory, Millicores, Peer};
+use cottoncrank_fleet::presence::{ABSENCE_TIMEOUT, MASS_ABSENCE_TIMEOUT, Presence};
 
 const HALLS: usize = 5;
 const LOOK: Millis = Millis(1000);
@@ -41,11 +41,11 @@
         let per_hall = nodes / HALLS;
         for at in 0..HALLS {
             for number in 0..per_hall {
-                directory.put(Peer {
+                directory.insert(Peer {
                     node: name(at, number),
                     hall: hall(at),
                     address: "127.0.0.1:9".parse().unwrap(),
-                    processor: Processor(120),
+                    processor: Millicores(120),
                 });
             }
         }
@@ -75,15 +75,15 @@
             return;
         }
         let collector = &mut self.collectors[at];
-        collector.begin();
+        collector.start_collecting();
         if !self.cut.contains(&at) {
             let living = (1..self.per_hall).map(|number| name(at, number));
             for node in living.filter(|node| !self.dead.contains(node)) {
-                collector.hear(&node, self.now);
+                collector.record_report(&node, self.now);
             }
             let others = (0..HALLS).filter(|other| *other != at && !self.cut.contains(other));
             for other in others.filter(|other| !self.dead.contains(&name(*other, 0))) {
-                collector.hear_hall(&hall(other), self.now);
+                collector.record_hall_report(&hall(other), self.now);
             }
         }
         for node in collector.list_gone(&me, &hall(at), &self.directory, self.now) {
@@ -111,7 +111,7 @@
     let mut fleet = Fleet::new(985);
     fleet.run(Millis(60_000));
     fleet.kill(1, 3..17);
-    fleet.run(ABSENT - LOOK);
+    fleet.run(ABSENCE_TIMEOUT - LOOK);
     assert_eq!(fleet.removed, 0, "a box that starts again is away for seconds");
     fleet.run(LOOK + LOOK);
     assert_eq!(fleet.removed, 14);
@@ -125,7 +125,7 @@
     let mut fleet = Fleet::new(985);
     fleet.run(Millis(60_000));
     fleet.cut.insert(2);
-    fleet.run(ABSENT_MANY - LOOK);
+    fleet.run(MASS_ABSENCE_TIMEOUT - LOOK);
     assert_eq!(fleet.removed, 0, "it hears of none of the others, and they of none of its hall");
     fleet.cut.clear();
     fleet.run(Millis(300_000));
@@ -138,7 +138,7 @@
     fleet.run(Millis(60_000));
     fleet.kill(0, 0..197);
     fleet.kill(3, 1..150);
-    fleet.run(ABSENT_MANY - LOOK);
+    fleet.run(MASS_ABSENCE_TIMEOUT - LOOK);
     assert_eq!(fleet.removed, 0, "most of two halls are not heard of");
     fleet.run(LOOK + LOOK);
     assert_eq!(fleet.removed, 197 + 149);
@@ -150,9 +150,10 @@
     let mut fleet = Fleet::new(90);
     fleet.run(Millis(60_000));
     fleet.kill(1, 3..5);
-    fleet.run(ABSENT - LOOK);
+    fleet.run(ABSENCE_TIMEOUT - LOOK);
     // Another node of the hall answers it, and was heard by the others meanwhile.
-    fleet.collectors[1].resign();
-    let gone = fleet.collectors[1].list_gone(&name(1, 0), &hall(1), &fleet.directory, fleet.now + ABSENT);
+    fleet.collectors[1].stop_collecting();
+    let gone =
+        fleet.collectors[1].list_gone(&name(1, 0), &hall(1), &fleet.directory, fleet.now + ABSENCE_TIMEOUT);
     assert!(gone.is_empty(), "{gone:?}");
 }
--- a/crates/fleet/tests/pressure/mod.rs
+++ b/crates/fleet/tests/pressure/mod.rs
@@ -13,7 +13,7 @@
 use cottoncrank_fleet::apportion::{Alone, Halls, Neighbor, Rations, Want, divide};
 use cottoncrank_fleet::occupancy::KEPT;
 use cottoncrank_fleet::rate::Rate;
-use cottoncrank_fleet::runner::Life;
+use cottoncrank_fleet::runner::Incarnation;
 use cottoncrank_fleet::throttle::{Claim, Table, Told};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -257,7 +257,7 @@
             return false;
         }
         let natural = self.rng.random::<f64>() < NATURAL;
-        let (time, life) = (Millis(now), Some(Life(self.life(now))));
+        let (time, life) = (Millis(now), Some(Incarnation(self.life(now))));
         let own = self.tables[node].find(&self.runner, life);
         if self.way == Way::Forgotten {
             return natural;
@@ -319,7 +319,7 @@
             self.answers.pop();
             let claim = Claim {
                 runner: self.runner.clone(),
-                life: Some(Life(life)),
+                life: Some(Incarnation(life)),
                 rate: named,
                 asked: Millis(asked),
                 heard: Millis(at),
@@ -378,7 +378,8 @@
         if !self.answers(0, now) {
             return;
         }
-        let Some(rate) = self.collectors[0].table.find(&self.runner, Some(Life(self.life(now)))) else {
+        let Some(rate) = self.collectors[0].table.find(&self.runner, Some(Incarnation(self.life(now))))
+        else {
             return;
         };
         let wants = self.collectors[0].wants.clone();
--- a/crates/fleet/tests/source.rs
+++ b/crates/fleet/tests/source.rs
@@ -1,7 +1,7 @@
 //! Whom nodes ask while the store is away, and how often they call it themselves.
 
 use cottoncrank::{Millis, id};
-use cottoncrank_fleet::directory::{Directory, Peer, Processor};
+use cottoncrank_fleet::directory::{Directory, Millicores, Peer};
 use cottoncrank_fleet::source::{Failure, Source, Sources};
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
@@ -20,7 +20,7 @@
         node: format!("n{hall}-{number}").parse().unwrap(),
         hall: format!("hall-{hall}").parse().unwrap(),
         address: "127.0.0.1:9".parse().unwrap(),
-        processor: Processor(processor),
+        processor: Millicores(processor),
     }
 }
 
@@ -33,7 +33,7 @@
     let mut directory = Directory::default();
     for hall in 0..halls {
         for number in 0..nodes {
-            directory.put(peer(hall, number, processor(number)));
+            directory.insert(peer(hall, number, processor(number)));
         }
     }
     directory
@@ -76,26 +76,26 @@
                 Source::Store if away(now) => {
                     calls += 1;
                     let sources = &mut followers[at].sources;
-                    sources.note_store_failure(&node, &hall, false, &directory, now, &mut rng);
+                    sources.record_store_failure(&node, &hall, false, &directory, now, &mut rng);
                     (None, CALL)
                 }
                 Source::Store => (Some(now), WATCH),
-                Source::Reader(asked) | Source::Senior(asked) => {
+                Source::Reader(asked) | Source::Upstream(asked) => {
                     let held = followers.iter().find(|other| other.peer.node == asked.node).unwrap().proven;
                     // A node without a proof sends those that ask it away.
                     if away(now) || held + Millis(1500) < now {
-                        followers[at].sources.note_failure(asked.node, Failure::Unsure, now);
+                        followers[at].sources.record_failure(asked.node, Failure::Stale, now);
                         (None, CALL)
                     } else {
                         (Some(held), WATCH)
                     }
                 }
-                Source::Nobody(pause) => (None, pause.max(CALL)),
+                Source::Wait(pause) => (None, pause.max(CALL)),
             };
             if let Some(proven) = proven {
                 match from_store {
-                    true => followers[at].sources.note_store_answer(now),
-                    false => followers[at].sources.note_answer(proven, now),
+                    true => followers[at].sources.record_store_answer(now),
+                    false => followers[at].sources.record_answer(proven, now),
                 }
                 followers[at].proven = proven;
             }
@@ -141,18 +141,18 @@
     let now = Millis(1000);
     for reader in &readers {
         let source = pick(&mut Sources::new(BOUND), reader, Some(&decider), now);
-        assert!(matches!(source, Source::Senior(peer) if peer.node == decider));
+        assert!(matches!(source, Source::Upstream(peer) if peer.node == decider));
     }
     assert_eq!(pick(&mut Sources::new(BOUND), &readers[0], None, now), Source::Store);
     let mut second = Sources::new(BOUND);
     assert!(
-        matches!(pick(&mut second, &readers[1], None, now), Source::Senior(peer) if peer.node == readers[0])
+        matches!(pick(&mut second, &readers[1], None, now), Source::Upstream(peer) if peer.node == readers[0])
     );
     // The first one does not answer: the second reads the store, until it does.
-    second.note_failure(readers[0].clone(), Failure::Silent, now);
+    second.record_failure(readers[0].clone(), Failure::TimedOut, now);
     assert_eq!(pick(&mut second, &readers[1], None, now), Source::Store);
     let later = now + Millis(3000);
-    assert!(matches!(pick(&mut second, &readers[1], None, later), Source::Senior(_)));
+    assert!(matches!(pick(&mut second, &readers[1], None, later), Source::Upstream(_)));
 }
 
 #[test]
@@ -167,13 +167,13 @@
     let (mut now, mut calls) = (Millis(0), 0);
     while now < Millis(60_000) {
         match sources.pick(&me, &hall, None, &directory, now, &mut rng) {
-            Source::Reader(reader) => sources.note_failure(reader.node, Failure::Unsure, now),
+            Source::Reader(reader) => sources.record_failure(reader.node, Failure::Stale, now),
             Source::Store => {
                 calls += 1;
-                sources.note_store_failure(&me, &hall, false, &directory, now, &mut rng);
+                sources.record_store_failure(&me, &hall, false, &directory, now, &mut rng);
             }
-            Source::Senior(_) => panic!("{me} is no reader"),
-            Source::Nobody(pause) => now = now + pause.max(Millis(1)),
+            Source::Upstream(_) => panic!("{me} is no reader"),
+            Source::Wait(pause) => now = now + pause.max(Millis(1)),
         }
     }
     assert!((1..=5).contains(&calls), "{calls} calls in a minute");
@@ -198,21 +198,21 @@
         let (mut sources, mut now, mut proven) = (Sources::new(BOUND), Millis(0), Millis(0));
         while now < Millis(20_000) {
             match sources.pick(&me, &hall, Some(&decider), &directory, now, &mut rng) {
-                Source::Reader(asked) | Source::Senior(asked) if !served(&asked) => {
-                    sources.note_failure(asked.node, Failure::Unsure, now);
+                Source::Reader(asked) | Source::Upstream(asked) if !served(&asked) => {
+                    sources.record_failure(asked.node, Failure::Stale, now);
                     now = now + CALL;
                 }
-                Source::Reader(_) | Source::Senior(_) => {
+                Source::Reader(_) | Source::Upstream(_) => {
                     proven = now;
-                    sources.note_answer(now, now);
+                    sources.record_answer(now, now);
                     now = now + WATCH;
                 }
                 Source::Store => {
                     proven = now;
-                    sources.note_store_answer(now);
+                    sources.record_store_answer(now);
                     now = now + WATCH;
                 }
-                Source::Nobody(pause) => now = now + pause.max(Millis(1)),
+                Source::Wait(pause) => now = now + pause.max(Millis(1)),
             }
             oldest = oldest.max(now.since(proven));
         }
--- a/crates/fleet/tests/staging.rs
+++ b/crates/fleet/tests/staging.rs
@@ -110,7 +110,7 @@
     for id in &members {
         let mut runner = world.roster.get(id).unwrap().clone();
         runner.staged = vec!["small".parse().unwrap()];
-        world.roster.put(runner);
+        world.roster.insert(runner);
     }
     world.memory = Memory::default();
     let (site, plan) = world.plans.iter().next().map(|(id, plan)| (id.clone(), plan.clone())).unwrap();
@@ -139,7 +139,7 @@
     let mut long = runner(0, 99);
     long.id = "r".repeat(id::NAME_MAX).parse().unwrap();
     long.staged = vec!["large".parse().unwrap()];
-    world.roster.put(long.clone());
+    world.roster.insert(long.clone());
     let mut preloaded = false;
     for _ in 0..60 {
         let step = world.step();
@@ -162,7 +162,7 @@
         for id in groups.iter().flat_map(|group| group.members.iter().take(members)) {
             let mut runner = world.roster.get(id).unwrap().clone();
             runner.staged.clear();
-            world.roster.put(runner);
+            world.roster.insert(runner);
         }
     };
     let count = |world: &mut World| {
--- a/crates/fleet/tests/survivors.rs
+++ b/crates/fleet/tests/survivors.rs
@@ -8,7 +8,7 @@
 //! had called the store three times a second, each time in vain.
 
 use cottoncrank::{Millis, id};
-use cottoncrank_fleet::directory::{Directory, Peer, Processor};
+use cottoncrank_fleet::directory::{Directory, Millicores, Peer};
 use cottoncrank_fleet::source::{Failure, Source, Sources};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -81,9 +81,9 @@
                     node: format!("n{hall}-{number}").parse().unwrap(),
                     hall: format!("hall-{hall}").parse().unwrap(),
                     address: "127.0.0.1:9".parse().unwrap(),
-                    processor: Processor(120),
+                    processor: Millicores(120),
                 };
-                directory.put(peer.clone());
+                directory.insert(peer.clone());
                 nodes.push(Node {
                     peer,
                     sources: Sources::new(bound),
@@ -145,12 +145,12 @@
             self.nodes[at].serving = false;
         }
         self.nodes[at].work = match source {
-            Source::Reader(ref peer) | Source::Senior(ref peer) => {
-                let serves = matches!(source, Source::Senior(_));
+            Source::Reader(ref peer) | Source::Upstream(ref peer) => {
+                let serves = matches!(source, Source::Upstream(_));
                 Work::Asks { asked: self.find(&peer.node), serves, since: now }
             }
             Source::Store => Work::Watches(now),
-            Source::Nobody(pause) => {
+            Source::Wait(pause) => {
                 self.nodes[at].serving = false;
                 Work::Idle(now + pause.max(Millis(1)))
             }
@@ -159,7 +159,7 @@
 
     fn fail(&mut self, at: usize, asked: usize, failure: Failure, now: Millis) {
         let peer = self.nodes[asked].peer.node.clone();
-        self.nodes[at].sources.note_failure(peer, failure, now);
+        self.nodes[at].sources.record_failure(peer, failure, now);
         self.nodes[at].work = Work::Idle(now);
     }
 
@@ -169,18 +169,18 @@
         }
         let there = self.nodes[asked].known;
         if self.is_gone(asked, now) && self.silent {
-            let patience = self.nodes[at].sources.patience(serves, since);
+            let patience = self.nodes[at].sources.query_timeout(serves, since);
             let patience = patience.map_or(SILENT, |left| left.clamp(Millis(100), SILENT));
             if now >= since + patience {
-                self.fail(at, asked, Failure::Silent, now);
+                self.fail(at, asked, Failure::TimedOut, now);
             }
             return;
         }
         if self.is_gone(asked, now) {
-            return self.fail(at, asked, Failure::Ended, now);
+            return self.fail(at, asked, Failure::Disconnected, now);
         }
         let Some(there) = there.filter(|_| self.nodes[asked].serving) else {
-            return self.fail(at, asked, Failure::Unsure, now);
+            return self.fail(at, asked, Failure::Stale, now);
         };
         let fresh = self.nodes[at].known.is_none_or(|here| there > here);
         if !fresh && now < since + WAIT {
@@ -188,10 +188,10 @@
         }
         match self.nodes[at].sources.accepts(now.since(there)) {
             true => {
-                self.nodes[at].sources.note_answer(there, now);
+                self.nodes[at].sources.record_answer(there, now);
                 self.learn(at, there, serves, now);
             }
-            false => self.fail(at, asked, Failure::Unsure, now),
+            false => self.fail(at, asked, Failure::Stale, now),
         }
     }
 
@@ -203,11 +203,11 @@
             let Peer { node, hall, .. } = self.nodes[at].peer.clone();
             let decides = self.nodes[at].known.and_then(|known| self.decider(known)) == Some(at);
             let (sources, rng) = (&mut self.nodes[at].sources, &mut self.rng);
-            sources.note_store_failure(&node, &hall, decides, &self.directory, now, rng);
+            sources.record_store_failure(&node, &hall, decides, &self.directory, now, rng);
             self.nodes[at].serving = false;
             self.nodes[at].work = Work::Idle(now);
         } else if now.0.is_multiple_of(CHANGE.0) {
-            self.nodes[at].sources.note_store_answer(now);
+            self.nodes[at].sources.record_store_answer(now);
             self.learn(at, now, true, now);
         }
     }
@@ -251,10 +251,10 @@
 
 /// A node that starts asks a reader of its hall, and else the store.
 fn start(me: &Peer, sources: &mut Sources, directory: &Directory, now: Millis) -> Source {
-    let readers = directory.list_sources(&me.node, &me.hall);
+    let readers = directory.list_local_readers(&me.node, &me.hall);
     match readers.get(now.0 as usize % (readers.len() + 1)) {
         Some(reader) => Source::Reader((*reader).clone()),
-        None => sources.wait_for_store(now),
+        None => sources.call_or_wait(now),
     }
 }
 
--- a/crates/fleet/tests/suspects.rs
+++ b/crates/fleet/tests/suspects.rs
@@ -5,8 +5,8 @@
 use cottoncrank::{Millis, id};
 use cottoncrank_fleet::evidence::{Crash, Level, Row};
 use cottoncrank_fleet::fingerprint::{Fingerprint, Request};
-use cottoncrank_fleet::runner::Life;
-use cottoncrank_fleet::suspects::{Audience, KEPT, Origin, Table};
+use cottoncrank_fleet::runner::Incarnation;
+use cottoncrank_fleet::suspects::{Audience, Origin, SUSPECT_TTL, Table};
 use rand::rngs::SmallRng;
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
@@ -18,7 +18,12 @@
 }
 
 fn crash(runner: u64, life: u64) -> Crash {
-    Crash { runner: format!("r-{runner}").parse().unwrap(), life: Some(Life(life)), nth: 0, release: None }
+    Crash {
+        runner: format!("r-{runner}").parse().unwrap(),
+        life: Some(Incarnation(life)),
+        nth: 0,
+        release: None,
+    }
 }
 
 /// A request at the ends of the first lives of these runners.
@@ -68,10 +73,10 @@
 fn an_end_in_a_life_that_has_ended_before_is_another_end() {
     let table = table(&[row("k", &[1])]);
     let runner = "r-1".parse().unwrap();
-    let name = |sent| table.name_crash(&runner, Some(Life(1)), None, sent);
+    let name = |sent| table.identify_crash(&runner, Some(Incarnation(1)), None, sent);
     assert_eq!(name(NOW), crash(1, 1), "it was under way when that was heard of");
     assert_eq!(name(NOW + Millis(1)), Crash { nth: 1, ..crash(1, 1) });
-    assert_eq!(table.name_crash(&runner, Some(Life(2)), None, NOW + Millis(1)), crash(1, 2));
+    assert_eq!(table.identify_crash(&runner, Some(Incarnation(2)), None, NOW + Millis(1)), crash(1, 2));
 }
 
 #[test]
@@ -109,7 +114,7 @@
     assert_eq!((level(&table, "k"), level(&table, "a")), (Level::Deadly(4), Level::Suspected(0)));
     // And the same when the other one runs to its end instead.
     let mut table = self::table(&[row("k", &[1, 2, 3]), row("a", &[1, 2, 3])]);
-    table.note_completed(&fingerprint("a"), NOW);
+    table.record_completed(&fingerprint("a"), NOW);
     assert_eq!((level(&table, "k"), level(&table, "a")), (Level::Deadly(3), Level::Clear));
     // One that ended more runners elsewhere explains only where it was: five ends are enough
     // also for one that was always beside it.
@@ -135,7 +140,7 @@
 #[test]
 fn an_entry_that_was_lifted_needs_three_new_ends() {
     let mut table = table(&[row("k", &[1, 2, 3])]);
-    table.lift(&fingerprint("k"), NOW);
+    table.void_crashes(&fingerprint("k"), NOW);
     assert_eq!(level(&table, "k"), Level::Clear);
     // A node that has not heard of it tells the old ends again.
     table.merge(&row("k", &[1, 2, 3]), Origin::Elsewhere, NOW);
@@ -175,7 +180,7 @@
 fn single_nodes_are_told_of_what_ended_two_runners_and_collectors_of_all_that_is_new_here() {
     let mut table = table(&[row("a", &[1]), row("k", &[1, 2])]);
     let names = |audience, after| {
-        let (rows, upto) = table.list_news(after, audience, 10);
+        let (rows, upto) = table.list_updates(after, audience, 10);
         (rows.iter().map(|row| row.fingerprint).collect::<Vec<_>>(), upto)
     };
     let (told, upto) = names(Audience::Collector, 0);
@@ -184,15 +189,15 @@
     assert_eq!(names(Audience::Node, 0).0, [fingerprint("k")]);
     // What came from another hall is passed on to nodes, not back to collectors.
     table.merge(&row("far", &[3, 4, 5]), Origin::Elsewhere, NOW);
-    assert!(table.list_news(upto, Audience::Collector, 10).0.is_empty());
-    assert_eq!(table.list_news(upto, Audience::Node, 10).0.len(), 1);
+    assert!(table.list_updates(upto, Audience::Collector, 10).0.is_empty());
+    assert_eq!(table.list_updates(upto, Audience::Node, 10).0.len(), 1);
     // More than fits is told in parts, and nothing is left out.
     for number in 0..20 {
         table.merge(&row(&format!("m{number}"), &[10 + number]), Origin::Hall, NOW);
     }
     let (mut after, mut seen) = (upto, BTreeSet::new());
     for _ in 0..4 {
-        let (rows, upto) = table.list_news(after, Audience::Collector, 6);
+        let (rows, upto) = table.list_updates(after, Audience::Collector, 6);
         seen.extend(rows.iter().map(|row| row.fingerprint));
         after = upto;
     }
@@ -231,16 +236,16 @@
     let mut table = table(&[row("k", &[1, 2, 3]), row("a", &[8])]);
     let unstored: Vec<Fingerprint> = table.list_unstored().iter().map(|(row, _)| row.fingerprint).collect();
     assert_eq!(unstored, [fingerprint("k")], "a single end is exchanged and not stored");
-    table.note_stored(&row("k", &[1, 2, 3]));
+    table.record_stored(&row("k", &[1, 2, 3]));
     assert!(table.list_unstored().is_empty());
     table.merge(&row("k", &[4]), Origin::Hall, NOW);
     assert_eq!(table.list_unstored().len(), 1, "it has one end more than the store holds");
-    assert!(table.list_needless().is_empty());
-    table.expire(NOW + KEPT - Millis(1));
+    assert!(table.list_obsolete().is_empty());
+    table.expire(NOW + SUSPECT_TTL - Millis(1));
     assert_eq!(level(&table, "k"), Level::Deadly(4));
-    table.expire(NOW + KEPT);
+    table.expire(NOW + SUSPECT_TTL);
     assert_eq!(level(&table, "k"), Level::Clear);
-    assert_eq!(table.list_needless(), [fingerprint("k")]);
-    assert!(!table.note_removed(&fingerprint("k")));
-    assert!(table.list_needless().is_empty());
+    assert_eq!(table.list_obsolete(), [fingerprint("k")]);
+    assert!(!table.record_removed(&fingerprint("k")));
+    assert!(table.list_obsolete().is_empty());
 }
--- a/crates/fleet/tests/throttle.rs
+++ b/crates/fleet/tests/throttle.rs
@@ -6,7 +6,7 @@
 use cottoncrank::{Millis, id};
 use cottoncrank_fleet::apportion::{Alone, Caller, Halls, Neighbor, Outlook, Rations, Returns, Want, divide};
 use cottoncrank_fleet::rate::{Rate, RateError};
-use cottoncrank_fleet::runner::Life;
+use cottoncrank_fleet::runner::Incarnation;
 use cottoncrank_fleet::throttle::{Change, Claim, Table};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -19,11 +19,17 @@
 
 fn claim(life: u64, rate: Option<f64>, asked: u64, heard: u64) -> Claim {
     let rate = rate.map(Rate::per_second);
-    Claim { runner: runner(), life: Some(Life(life)), rate, asked: Millis(asked), heard: Millis(heard) }
+    Claim {
+        runner: runner(),
+        life: Some(Incarnation(life)),
+        rate,
+        asked: Millis(asked),
+        heard: Millis(heard),
+    }
 }
 
 fn find(table: &Table, life: u64) -> Option<Rate> {
-    table.find(&runner(), Some(Life(life)))
+    table.find(&runner(), Some(Incarnation(life)))
 }
 
 #[test]
@@ -142,7 +148,7 @@
             life += u64::from(restarts);
             let rate = rate.map(Rate);
             let (asked, heard) = (Millis(said - way), Millis(said + way));
-            Claim { runner: runner(), life: Some(Life(life)), rate, asked, heard }
+            Claim { runner: runner(), life: Some(Incarnation(life)), rate, asked, heard }
         });
         made.collect()
     })
--- a/crates/fleet/tests/trials.rs
+++ b/crates/fleet/tests/trials.rs
@@ -4,12 +4,12 @@
 use cottoncrank_fleet::evidence::Level;
 use cottoncrank_fleet::fingerprint::{Fingerprint, Request};
 use cottoncrank_fleet::runner::Epoch;
-use cottoncrank_fleet::trials::{LASTS, Ruling, Takers, Trials, Usual};
+use cottoncrank_fleet::trials::{Baseline, Capacity, Ruling, TRIAL_TIMEOUT, Trials};
 
 const NOW: Millis = Millis(1000);
 
 /// All groups are there.
-const ALL: Takers = Takers { now: 4, usual: 4 };
+const ALL: Capacity = Capacity { available: 4, usual: 4 };
 
 fn fingerprint(name: &str) -> Fingerprint {
     Fingerprint::of(&Request { account: None, method: "POST", path: name, body: b"" })
@@ -19,59 +19,66 @@
 fn copies_of_a_suspected_request_wait_for_the_outcome_of_the_first() {
     let (a, b) = (fingerprint("a"), fingerprint("b"));
     let mut trials = Trials::default();
-    assert_eq!(trials.rule(&a, Level::Suspected(1), ALL, NOW), Ruling::Trial);
-    trials.begin(a, Some(Epoch(7)), NOW);
-    assert_eq!(trials.rule(&a, Level::Suspected(1), ALL, NOW), Ruling::Hold);
-    assert_eq!(trials.rule(&b, Level::Suspected(1), ALL, NOW), Ruling::Trial, "another one need not wait");
-    assert_eq!(trials.rule(&a, Level::Clear, ALL, NOW), Ruling::Run, "it was cleared meanwhile");
-    trials.end(&a);
-    assert_eq!(trials.rule(&a, Level::Suspected(2), ALL, NOW), Ruling::Trial);
+    assert_eq!(trials.decide(&a, Level::Suspected(1), ALL, NOW), Ruling::Trial);
+    trials.start(a, Some(Epoch(7)), NOW);
+    assert_eq!(trials.decide(&a, Level::Suspected(1), ALL, NOW), Ruling::Quarantine);
+    assert_eq!(trials.decide(&b, Level::Suspected(1), ALL, NOW), Ruling::Trial, "another one need not wait");
+    assert_eq!(trials.decide(&a, Level::Clear, ALL, NOW), Ruling::Run, "it was cleared meanwhile");
+    trials.finish(&a);
+    assert_eq!(trials.decide(&a, Level::Suspected(2), ALL, NOW), Ruling::Trial);
     // Nothing is heard of a run whose caller has left.
-    trials.begin(a, Some(Epoch(7)), NOW);
-    assert_eq!(trials.rule(&a, Level::Suspected(2), ALL, NOW + LASTS), Ruling::Trial);
+    trials.start(a, Some(Epoch(7)), NOW);
+    assert_eq!(trials.decide(&a, Level::Suspected(2), ALL, NOW + TRIAL_TIMEOUT), Ruling::Trial);
 }
 
 #[test]
 fn a_request_that_goes_on_elsewhere_does_not_wait_for_its_own_run() {
     let a = fingerprint("a");
     let mut trials = Trials::default();
-    trials.begin(a, Some(Epoch(7)), NOW);
-    trials.end_at(&a, &[Epoch(5)]);
-    assert_eq!(trials.rule(&a, Level::Suspected(1), ALL, NOW), Ruling::Hold, "that is another copy of it");
-    trials.end_at(&a, &[Epoch(5), Epoch(7)]);
-    assert_eq!(trials.rule(&a, Level::Suspected(1), ALL, NOW), Ruling::Trial);
+    trials.start(a, Some(Epoch(7)), NOW);
+    trials.finish_at(&a, &[Epoch(5)]);
+    assert_eq!(
+        trials.decide(&a, Level::Suspected(1), ALL, NOW),
+        Ruling::Quarantine,
+        "that is another copy of it"
+    );
+    trials.finish_at(&a, &[Epoch(5), Epoch(7)]);
+    assert_eq!(trials.decide(&a, Level::Suspected(1), ALL, NOW), Ruling::Trial);
 }
 
 #[test]
 fn runs_are_kept_apart_from_those_of_other_suspected_requests() {
     let (a, b) = (fingerprint("a"), fingerprint("b"));
     let mut trials = Trials::default();
-    trials.begin(a, Some(Epoch(7)), NOW);
-    trials.begin(b, Some(Epoch(8)), NOW);
-    assert_eq!(trials.list_groups(&a, NOW), [Epoch(8)]);
-    assert!(trials.list_groups(&a, NOW + LASTS).is_empty());
+    trials.start(a, Some(Epoch(7)), NOW);
+    trials.start(b, Some(Epoch(8)), NOW);
+    assert_eq!(trials.list_trial_groups(&a, NOW), [Epoch(8)]);
+    assert!(trials.list_trial_groups(&a, NOW + TRIAL_TIMEOUT).is_empty());
 }
 
 #[test]
 fn suspected_requests_wait_while_runners_are_short_and_a_deadly_one_runs_nowhere() {
     let a = fingerprint("a");
     let trials = Trials::default();
-    let rule = |now, usual| trials.rule(&a, Level::Suspected(1), Takers { now, usual }, NOW);
+    let rule = |now, usual| trials.decide(&a, Level::Suspected(1), Capacity { available: now, usual }, NOW);
     assert_eq!(rule(1, 1), Ruling::Trial, "there never were more");
     assert_eq!(rule(2, 3), Ruling::Trial, "one hall of three is lost");
     assert_eq!(rule(1, 2), Ruling::Trial, "what was in flight at the other goes on");
-    assert_eq!((rule(0, 2), rule(1, 3), rule(0, 3)), (Ruling::Hold, Ruling::Hold, Ruling::Hold));
-    assert_eq!((rule(12, 20), rule(11, 20)), (Ruling::Trial, Ruling::Hold));
-    assert_eq!(trials.rule(&a, Level::Clear, Takers { now: 1, usual: 9 }, NOW), Ruling::Run);
-    assert_eq!(trials.rule(&a, Level::Deadly(3), ALL, NOW), Ruling::Refuse);
+    assert_eq!(
+        (rule(0, 2), rule(1, 3), rule(0, 3)),
+        (Ruling::Quarantine, Ruling::Quarantine, Ruling::Quarantine)
+    );
+    assert_eq!((rule(12, 20), rule(11, 20)), (Ruling::Trial, Ruling::Quarantine));
+    assert_eq!(trials.decide(&a, Level::Clear, Capacity { available: 1, usual: 9 }, NOW), Ruling::Run);
+    assert_eq!(trials.decide(&a, Level::Deadly(3), ALL, NOW), Ruling::Reject);
 }
 
 #[test]
 fn what_is_usual_is_remembered_for_some_time_and_then_forgotten() {
     let service = "engines".parse().unwrap();
     let (small, large) = ("small".parse().unwrap(), "large".parse().unwrap());
-    let mut usual = Usual::default();
-    let mut note = |model, takers, at| usual.note(&service, Some(model), takers, NOW + Millis(at)).usual;
+    let mut usual = Baseline::default();
+    let mut note = |model, takers, at| usual.record(&service, Some(model), takers, NOW + Millis(at)).usual;
     assert_eq!(note(&small, 9, 0), 9);
     assert_eq!(note(&large, 3, 0), 3);
     assert_eq!(note(&small, 4, 29_000), 9);
--- a/crates/fleet/tests/unwilling.rs
+++ b/crates/fleet/tests/unwilling.rs
@@ -21,7 +21,13 @@
 
 const SLOTS: u32 = 14;
 
-const SPEED: Speed = Speed { step: 7.8, request: 0.0947, stride: 8.0, read: 45.9, answer: 156.0 };
+const SPEED: Speed = Speed {
+    step_ms: 7.8,
+    per_request_ms: 0.0947,
+    stride: 8.0,
+    prompt_tokens_per_ms: 45.9,
+    usual_answer_tokens: 156.0,
+};
 
 /// For how long a runner that turns a request away wants no other one.
 const SPAN: Millis = Millis(3000);
@@ -84,7 +90,7 @@
         release: None,
         orders: None,
         served: None,
-        life: None,
+        incarnation: None,
         staged: Vec::new(),
         membership: Some(Membership {
             group: format!("g{number}").parse().unwrap(),
@@ -178,7 +184,14 @@
         };
         let hall: id::Hall = "hall-a".parse().unwrap();
         let (load, warm) = (Millis(12_000), Millis(1100));
-        let model = Model { name: "small".parse().unwrap(), size: 4, share: 1.0, load, warm, pace: 0.6 };
+        let model = Model {
+            name: "small".parse().unwrap(),
+            size: 4,
+            share: 1.0,
+            load_time: load,
+            warm_load_time: warm,
+            pace: 0.6,
+        };
         let heads: Vec<&Runner> = self.heads.iter().collect();
         let choice = Choice {
             hall: &hall,
--- a/crates/fleet/tests/world/mod.rs
+++ b/crates/fleet/tests/world/mod.rs
@@ -15,7 +15,7 @@
 use cottoncrank_fleet::plan::Plans;
 use cottoncrank_fleet::probe::{Answer, Probes, Reported};
 use cottoncrank_fleet::roster::Roster;
-use cottoncrank_fleet::runner::{Epoch, Life, Membership, Phase, Runner};
+use cottoncrank_fleet::runner::{Epoch, Incarnation, Membership, Phase, Runner};
 use cottoncrank_fleet::scene::Scene;
 use cottoncrank_fleet::settings::Ceiling;
 use rand::rngs::SmallRng;
@@ -113,7 +113,7 @@
 
 pub fn model(name: &str, size: usize, share: f64, load: u64, warm: u64) -> Model {
     let (load, warm) = (Millis(load), Millis(warm));
-    Model { name: name.parse().unwrap(), size, share, load, warm, pace: 1.0 }
+    Model { name: name.parse().unwrap(), size, share, load_time: load, warm_load_time: warm, pace: 1.0 }
 }
 
 pub fn engine(models: Vec<Model>, loads_per_second: f64, loads_at_once: usize) -> Service {
@@ -174,7 +174,7 @@
             release: None,
             orders: None,
             served: None,
-            life: Some(Life(self.now.0)),
+            incarnation: Some(Incarnation(self.now.0)),
             staged: Vec::new(),
             membership: None,
         };
@@ -236,7 +236,7 @@
         let now = self.now;
         let actor = self.actors.get_mut(&id).unwrap();
         actor.alive = false;
-        actor.entry.restart(Life(now.0 + down.0));
+        actor.entry.restart(Incarnation(now.0 + down.0));
         (actor.staging, actor.loading, actor.ready) = (None, None, None);
         (actor.model, actor.last, actor.still) = (None, None, None);
         actor.members.clear();
@@ -397,7 +397,7 @@
         for (_, id, entry) in due {
             match entry {
                 Some(entry) if self.actors[&id].alive => {
-                    self.roster.put(entry);
+                    self.roster.insert(entry);
                 }
                 Some(_) => {}
                 None => self.roster.remove(&id, self.now),
@@ -412,13 +412,13 @@
                 runner: id.clone(),
                 hall: self.actors[id].entry.hall.clone(),
                 reported: if self.actors[id].alive { Reported::Pace(1.0) } else { Reported::Silent },
-                life: self.actors[id].entry.life.filter(|_| self.actors[id].alive),
+                life: self.actors[id].entry.incarnation.filter(|_| self.actors[id].alive),
                 asked: if self.actors[id].alive { 1 } else { 2 },
             })
             .collect();
         for answer in &round {
             if let Some(life) = answer.life {
-                self.roster.note_life(&answer.runner, life);
+                self.roster.record_incarnation(&answer.runner, life);
             }
         }
         self.probes.take(&round);
@@ -435,7 +435,7 @@
                 let at = self.now + Millis(self.rng.random_range(2000..12_000));
                 self.slow.push((at, id, order));
             } else if self.actors[&id].alive {
-                let life = self.roster.recall(&id).and_then(|runner| runner.life);
+                let life = self.roster.get_last_known(&id).and_then(|runner| runner.incarnation);
                 let taken = self.obey(&id, &order);
                 match taken {
                     true => self.memory.note_taken(&id, life, &order, self.now),
@@ -564,13 +564,13 @@
                         now + if loaded {
                             REJOIN
                         } else if staged {
-                            model.warm
+                            model.warm_load_time
                         } else {
                             Millis(0)
                         },
                     );
                     if !loaded && !staged && actor.staging.as_ref().is_none_or(|load| load.model != *name) {
-                        actor.loading = Some(Load { model: name.clone(), left: seconds(model.load) });
+                        actor.loading = Some(Load { model: name.clone(), left: seconds(model.load_time) });
                         self.loads += usize::from(self.serving);
                     }
                 }
@@ -602,7 +602,7 @@
                 true
             }
             Order::Stage(name) => {
-                actor.staging = Some(Load { model: name.clone(), left: seconds(find(name).load) });
+                actor.staging = Some(Load { model: name.clone(), left: seconds(find(name).load_time) });
                 self.loads += usize::from(self.serving);
                 true
             }
--- a/crates/node/src/attempt.rs
+++ b/crates/node/src/attempt.rs
@@ -8,7 +8,7 @@
 use cottoncrank_fleet::catalog::{Catalog, Engine, Route};
 use cottoncrank_fleet::fingerprint::Fingerprint;
 use cottoncrank_fleet::plan::{State, find_state};
-use cottoncrank_fleet::runner::{Epoch, Life, Release};
+use cottoncrank_fleet::runner::{Epoch, Incarnation, Release};
 use cottoncrank_platform::header::{self, Forward, Terms, Verdict};
 use http_body_util::Full;
 use hyper::body::Incoming;
@@ -162,7 +162,7 @@
     /// Where it listens.
     pub address: SocketAddr,
     /// In which life it was picked, where that is told.
-    pub life: Option<Life>,
+    pub life: Option<Incarnation>,
     /// The release of its software, where that is told.
     pub release: Option<Release>,
     /// When it was picked.
@@ -224,7 +224,7 @@
     };
     let status = response.status().as_u16();
     if header::is_leaving(status, response.headers()) {
-        node.note_leaving(&pick.id, pick.life);
+        node.record_leaving(&pick.id, pick.life);
     }
     let backoff = backoff::note(node, &pick.id, pick.life, status, response.headers());
     let verdict = header::read_verdict(status, response.headers(), job.terms.request.as_deref());
--- a/crates/node/src/backoff.rs
+++ b/crates/node/src/backoff.rs
@@ -1,7 +1,7 @@
 //! Taking in for how long runners want no requests from this node.
 
 use cottoncrank::{Millis, id};
-use cottoncrank_fleet::runner::Life;
+use cottoncrank_fleet::runner::Incarnation;
 use cottoncrank_platform::header;
 use hyper::header::HeaderMap;
 
@@ -15,7 +15,7 @@
 pub(crate) fn note(
     node: &Node,
     id: &id::Runner,
-    life: Option<Life>,
+    life: Option<Incarnation>,
     status: u16,
     headers: &HeaderMap,
 ) -> Option<Millis> {
@@ -30,6 +30,6 @@
 }
 
 /// Whether a runner wants no requests from this node at present.
-pub(crate) fn is_unwilling(node: &Node, id: &id::Runner, life: Option<Life>) -> bool {
+pub(crate) fn is_unwilling(node: &Node, id: &id::Runner, life: Option<Incarnation>) -> bool {
     node.said.lock().backoffs.find(id, life, node.now()).is_some()
 }
--- a/crates/node/src/candidates.rs
+++ b/crates/node/src/candidates.rs
@@ -6,7 +6,7 @@
 use cottoncrank_fleet::roster::Roster;
 use cottoncrank_fleet::runner::{Epoch, Runner};
 use cottoncrank_fleet::said::Admission;
-use cottoncrank_fleet::trials::Takers;
+use cottoncrank_fleet::trials::Capacity;
 
 use crate::answer::Refusal;
 use crate::attempt::{Job, Pick};
@@ -32,7 +32,7 @@
 ) -> Vec<&'a Runner> {
     let (mut candidates, now) = (list_candidates(node, roster, job), node.now());
     let said = node.said.lock();
-    candidates.retain(|runner| admits(said.ask(&runner.id, runner.life, now)));
+    candidates.retain(|runner| admits(said.ask(&runner.id, runner.incarnation, now)));
     candidates
 }
 
@@ -62,7 +62,7 @@
     let (ledger, said) = (node.ledger.lock(), node.said.lock());
     let usable =
         candidates.into_iter().filter(|runner| !tried.contains(&runner.id) && ledger.is_sound(runner, now));
-    let rated = usable.filter_map(|runner| match said.ask(&runner.id, runner.life, now) {
+    let rated = usable.filter_map(|runner| match said.ask(&runner.id, runner.incarnation, now) {
         Admission::Rated(rate) => Some((runner.id.clone(), rate)),
         Admission::Open | Admission::Closed(_) => None,
     });
@@ -88,7 +88,7 @@
     let roster = node.roster.lock();
     let candidates = list_candidates(node, &roster, job);
     let said = node.said.lock();
-    let ends = candidates.iter().map(|runner| match said.ask(&runner.id, runner.life, now) {
+    let ends = candidates.iter().map(|runner| match said.ask(&runner.id, runner.incarnation, now) {
         Admission::Closed(until) => Some(until),
         Admission::Open | Admission::Rated(_) => None,
     });
@@ -97,7 +97,7 @@
 }
 
 /// How many groups or runners can take a request, as far as this node has seen.
-pub fn count_takers(node: &Node, job: &Job) -> Takers {
+pub fn count_takers(node: &Node, job: &Job) -> Capacity {
     let now = node.now();
     let sound = {
         let roster = node.roster.lock();
@@ -106,7 +106,7 @@
         candidates.into_iter().filter(|runner| ledger.is_sound(runner, now)).count()
     };
     let (service, model) = job.lane();
-    node.usual.lock().note(&service, model.as_ref(), sound, now)
+    node.usual.lock().record(&service, model.as_ref(), sound, now)
 }
 
 /// Whether the runners of a request have room for it; none if nobody knows.
@@ -133,7 +133,7 @@
     Pick {
         id: runner.id.clone(),
         address: runner.address,
-        life: runner.life,
+        life: runner.incarnation,
         release: runner.release.clone(),
         at: node.now(),
         hall: runner.hall.clone(),
--- a/crates/node/src/collect.rs
+++ b/crates/node/src/collect.rs
@@ -47,7 +47,7 @@
             Some(collector) if collector.node != settings.node => {
                 let told = tell(&node, &client, &collector).await;
                 if told.is_ok() {
-                    node.presence.lock().resign();
+                    node.presence.lock().stop_collecting();
                     node.pool.lock().resign();
                 }
                 told.err().into_iter().collect()
@@ -107,7 +107,7 @@
 /// those that do not answer.
 async fn tell_halls(node: &Arc<Node>, client: &Client, others: Vec<Peer>) -> Vec<id::Node> {
     let asked = node.now();
-    node.presence.lock().begin();
+    node.presence.lock().start_collecting();
     retries::keep_pool(node);
     let sum = node.reports.lock().sum_hall(&node.sum_in_flight(), asked);
     let mut telling = JoinSet::new();
@@ -164,9 +164,9 @@
     let now = node.now();
     news::take(node, &report.news, report.scope);
     match report.scope {
-        Scope::Node => node.presence.lock().hear(&report.node, now),
+        Scope::Node => node.presence.lock().record_report(&report.node, now),
         Scope::Hall => {
-            node.presence.lock().hear_hall(&report.hall, now);
+            node.presence.lock().record_hall_report(&report.hall, now);
             node.rations.lock().hear(&report.hall, &report.wants);
         }
     }
--- a/crates/node/src/crash.rs
+++ b/crates/node/src/crash.rs
@@ -5,8 +5,8 @@
 use std::sync::Arc;
 
 use cottoncrank::{Millis, id};
-use cottoncrank_fleet::breaks::Break;
 use cottoncrank_fleet::evidence::Row;
+use cottoncrank_fleet::interruptions::Interruption;
 use cottoncrank_fleet::probe::Reported;
 use cottoncrank_fleet::runner::is_later;
 use cottoncrank_fleet::suspects::Origin;
@@ -115,7 +115,7 @@
 
 fn note_break(node: &Node, pick: &Pick, row: Row) {
     let (runner, life, address) = (pick.id.clone(), pick.life, pick.address);
-    node.breaks.lock().note(Break { row, runner, life, address, at: node.now() });
+    node.breaks.lock().record(Interruption { row, runner, incarnation: life, address, at: node.now() });
 }
 
 /// Finds out what became of the runner of a try that broke off.
@@ -144,7 +144,7 @@
         if finding == Finding::Unknown {
             continue;
         }
-        let rows = node.breaks.lock().take_ended(&pick.id, pick.life, node.now());
+        let rows = node.breaks.lock().take_crashed(&pick.id, pick.life, node.now());
         if finding == Finding::Ended && !rows.is_empty() {
             log::info!("crash: {} has ended under {} requests", pick.id, rows.len());
             suspects::take(&node, &rows, Origin::Hall);
--- a/crates/node/src/decider.rs
+++ b/crates/node/src/decider.rs
@@ -459,7 +459,12 @@
     }
 
     fn give(&self, runner: id::Runner, order: Order) {
-        let known = self.node.roster.lock().recall(&runner).map(|runner| (runner.address, runner.life));
+        let known = self
+            .node
+            .roster
+            .lock()
+            .get_last_known(&runner)
+            .map(|runner| (runner.address, runner.incarnation));
         let Some((address, life)) = known else { return };
         let (node, client, memory) = (self.node.clone(), self.client.clone(), self.memory.clone());
         let (until, era) = (self.until, self.position.era());
--- a/crates/node/src/dispatch.rs
+++ b/crates/node/src/dispatch.rs
@@ -83,7 +83,7 @@
 
 fn list_epochs(node: &Node, runners: &[id::Runner]) -> Vec<Epoch> {
     let roster = node.roster.lock();
-    let epoch = |id: &id::Runner| Some(roster.recall(id)?.membership.as_ref()?.epoch);
+    let epoch = |id: &id::Runner| Some(roster.get_last_known(id)?.membership.as_ref()?.epoch);
     runners.iter().filter_map(epoch).collect()
 }
 
@@ -133,9 +133,9 @@
     let ruling = rule(node, question, sound, now);
     let trials = match ruling {
         Ruling::Run => Vec::new(),
-        Ruling::Trial => node.trials.lock().list_groups(&question.fingerprint, now),
-        Ruling::Hold => return Reply::Held,
-        Ruling::Refuse => return Reply::Deadly,
+        Ruling::Trial => node.trials.lock().list_trial_groups(&question.fingerprint, now),
+        Ruling::Quarantine => return Reply::Held,
+        Ruling::Reject => return Reply::Deadly,
     };
     let limited = throttle::list_limited(node, &heads, now);
     let choice = Choice {
@@ -159,16 +159,16 @@
         return Reply::Throttled(wait.map_or(soonest, |wait| wait.0));
     }
     if let (Ruling::Trial, Reply::Take(promise)) = (ruling, reply) {
-        node.trials.lock().begin(question.fingerprint, Some(promise.epoch), now);
+        node.trials.lock().start(question.fingerprint, Some(promise.epoch), now);
     }
     reply
 }
 
 /// What becomes of a request that a node asks for, as far as this hall knows.
 fn rule(node: &Node, question: &Question, groups: usize, now: Millis) -> Ruling {
-    let takers = node.usual.lock().note(&question.service, Some(&question.model), groups, now);
+    let takers = node.usual.lock().record(&question.service, Some(&question.model), groups, now);
     let level = node.suspects.lock().level(&question.fingerprint);
     let mut trials = node.trials.lock();
-    trials.end_at(&question.fingerprint, &question.tried);
-    trials.rule(&question.fingerprint, level, takers, now)
+    trials.finish_at(&question.fingerprint, &question.tried);
+    trials.decide(&question.fingerprint, level, takers, now)
 }
--- a/crates/node/src/era.rs
+++ b/crates/node/src/era.rs
@@ -33,7 +33,7 @@
     figures::count_era();
     node.store.raise_era(batch.position.era());
     // Runners write their entries again within seconds; none is given up for that.
-    node.roster.lock().regain(node.now());
+    node.roster.lock().start_grace_period(node.now());
     node.suspects.lock().forget_stored();
     let held = node.feed.list(|raw| read_version(raw).is_some());
     for raw in held {
--- a/crates/node/src/front.rs
+++ b/crates/node/src/front.rs
@@ -58,8 +58,8 @@
         log::debug!("front: {error}");
     }
     let limits = node.catalog.lock().as_ref().map(|catalog| catalog.limits);
-    let idle = limits.map_or(IDLE_UNSET, |limits| limits.idle);
-    let buffer = limits.map_or(BUFFER_UNSET, |limits| (2 * limits.head_bytes).max(BUFFER_UNSET));
+    let idle = limits.map_or(IDLE_UNSET, |limits| limits.idle_timeout);
+    let buffer = limits.map_or(BUFFER_UNSET, |limits| (2 * limits.max_head_bytes).max(BUFFER_UNSET));
     let mut closed = node.closed.subscribe();
     let service = service_fn(|request: Request<Incoming>| {
         let node = node.clone();
--- a/crates/node/src/intake.rs
+++ b/crates/node/src/intake.rs
@@ -154,7 +154,7 @@
     if let Some(entry) = member::read_entry(item) {
         match entry {
             Ok(peer) => {
-                node.directory.lock().put(peer);
+                node.directory.lock().insert(peer);
                 retries::take_share(node);
             }
             Err(error) => node.note_unreadable(&item.key, Part::Node, "form", error),
--- a/crates/node/src/member.rs
+++ b/crates/node/src/member.rs
@@ -91,7 +91,7 @@
 pub fn take_entries(node: &Node, items: &[Item]) {
     for entry in items.iter().filter_map(read_entry) {
         match entry {
-            Ok(peer) => node.directory.lock().put(peer),
+            Ok(peer) => node.directory.lock().insert(peer),
             Err(error) => log::error!("member: the entry of a node cannot be read: {error}"),
         }
     }
--- a/crates/node/src/news.rs
+++ b/crates/node/src/news.rs
@@ -42,7 +42,7 @@
 pub(crate) fn take(node: &Node, news: &News, scope: Scope) {
     throttle::take_claims(node, &news.claims);
     for Leaving { runner, life } in &news.leaving {
-        node.note_leaving(runner, *life);
+        node.record_leaving(runner, *life);
     }
     let (mut refusals, now) = (node.refusals.lock(), node.now());
     for runner in &news.refusing {
@@ -86,7 +86,7 @@
     for runner in roster.iter() {
         let pressure = halls.entry(runner.hall.clone()).or_default();
         pressure.leaving += usize::from(runner.draining);
-        match said.ask(&runner.id, runner.life, now) {
+        match said.ask(&runner.id, runner.incarnation, now) {
             Admission::Open => {}
             Admission::Closed(_) => pressure.unwilling += 1,
             Admission::Rated(rate) => {
--- a/crates/node/src/plain.rs
+++ b/crates/node/src/plain.rs
@@ -39,9 +39,9 @@
         }
         match suspects::rule(node, job) {
             Ruling::Run | Ruling::Trial => {}
-            Ruling::Refuse => return Err(Refusal::Deadly),
-            Ruling::Hold if may_have_run => break,
-            Ruling::Hold => return Err(Refusal::Held),
+            Ruling::Reject => return Err(Refusal::Deadly),
+            Ruling::Quarantine if may_have_run => break,
+            Ruling::Quarantine => return Err(Refusal::Held),
         }
         let pick = match throttle::ask(node, job, &tried).await {
             Some(Place::Take(runner)) => pick_at(node, job, &runner),
@@ -66,7 +66,7 @@
         };
         match outcome {
             Ok(answer) => {
-                suspects::note_completed(node, &job.fingerprint);
+                suspects::record_completed(node, &job.fingerprint);
                 return Ok(answer);
             }
             Err(error) => {
--- a/crates/node/src/prober.rs
+++ b/crates/node/src/prober.rs
@@ -35,7 +35,7 @@
         members.extend(probes.lock().list_slow());
         let known: Vec<Runner> = {
             let roster = node.roster.lock();
-            members.iter().filter_map(|id| roster.recall(id).cloned()).collect()
+            members.iter().filter_map(|id| roster.get_last_known(id).cloned()).collect()
         };
         let mut asking = JoinSet::new();
         for runner in known {
@@ -47,10 +47,10 @@
         let mut answers = Vec::with_capacity(round.len());
         for (answer, leaving) in round {
             if let Some(life) = answer.life {
-                node.note_life(&answer.runner, life);
+                node.record_incarnation(&answer.runner, life);
             }
             if leaving {
-                node.note_leaving(&answer.runner, answer.life);
+                node.record_leaving(&answer.runner, answer.life);
             }
             answers.push(answer);
         }
--- a/crates/node/src/record.rs
+++ b/crates/node/src/record.rs
@@ -66,14 +66,14 @@
 /// The store holds this.
 pub(crate) fn take(node: &Node, row: &Row) {
     suspects::take(node, std::slice::from_ref(row), Origin::Elsewhere);
-    node.suspects.lock().note_stored(row);
+    node.suspects.lock().record_stored(row);
 }
 
 /// A key is gone. Returns whether it was an entry's. Nodes remove only what counts for
 /// nothing any more: anything else was removed by operators, to have the request run again.
 pub(crate) fn take_gone(node: &Node, key: &str) -> bool {
     let Some(Ok(fingerprint)) = read_key(key) else { return false };
-    if node.suspects.lock().note_removed(&fingerprint) {
+    if node.suspects.lock().record_removed(&fingerprint) {
         suspects::lift(node, &fingerprint, "its entry was removed from the store");
     }
     true
@@ -119,7 +119,7 @@
             Err(error) => log::error!("record: {} cannot be encoded: {error}", row.fingerprint),
         }
     }
-    let needless = table.list_needless().into_iter().take(WRITES_MAX - commit.puts.len());
+    let needless = table.list_obsolete().into_iter().take(WRITES_MAX - commit.puts.len());
     commit.removes.extend(needless.map(|fingerprint| format!("{PREFIX}{fingerprint}")));
     commit
 }
@@ -140,10 +140,10 @@
     let mut table = node.suspects.lock();
     for (_, value, _) in &commit.puts {
         if let Ok(row) = rmp_serde::from_slice::<Row>(value) {
-            table.note_stored(&row);
+            table.record_stored(&row);
         }
     }
     for fingerprint in commit.removes.iter().filter_map(|key| read_key(key)?.ok()) {
-        table.note_removed(&fingerprint);
+        table.record_removed(&fingerprint);
     }
 }
--- a/crates/node/src/relay.rs
+++ b/crates/node/src/relay.rs
@@ -13,7 +13,7 @@
 use crate::flight::{Admitted, Running};
 use crate::source::{Next, PATIENCE, Source, read_next};
 use crate::state::Node;
-use crate::suspects::{note_completed, wait_deadly};
+use crate::suspects::{record_completed, wait_deadly};
 use crate::tries::{Tries, next_attempt};
 
 /// Passes the rest of a stream on.
@@ -77,7 +77,7 @@
                     }
                 }
                 Ok(Next::End) => {
-                    note_completed(&self.node, &self.job.fingerprint);
+                    record_completed(&self.node, &self.job.fingerprint);
                     return Ok(());
                 }
                 Err(error) => self.go_on(&error).await?,
@@ -88,7 +88,7 @@
     /// Says so once when a pause was longer than what counts as in time.
     fn note_pause(&mut self, since: Millis) {
         let pause = self.node.now().since(since);
-        if self.paused || self.job.route.gap.is_none_or(|gap| pause <= gap) {
+        if self.paused || self.job.route.target_gap.is_none_or(|gap| pause <= gap) {
             return;
         }
         self.paused = true;
--- a/crates/node/src/request.rs
+++ b/crates/node/src/request.rs
@@ -93,9 +93,9 @@
     let arrived = node.now();
     node.wait_synced(START).await;
     let catalog = node.catalog.lock().clone().ok_or(Refusal::Unsure)?;
-    let body = read_body(body, catalog.limits.body_bytes).await?;
+    let body = read_body(body, catalog.limits.max_body_bytes).await?;
     let route = find_route(&catalog, &head).map_err(|refusal| verify(node, refusal))?;
-    let account = match route.anonymous || !catalog.has_accounts() {
+    let account = match route.allow_anonymous || !catalog.has_accounts() {
         true => None,
         false => {
             if !node.trusts_keys() {
--- a/crates/node/src/state.rs
+++ b/crates/node/src/state.rs
@@ -10,13 +10,13 @@
 use cottoncrank::{Clock, Millis, id};
 use cottoncrank_fleet::apportion::{Alone, Rations, Returns};
 use cottoncrank_fleet::balance::Ledger;
-use cottoncrank_fleet::breaks::Breaks;
 use cottoncrank_fleet::catalog::Catalog;
 use cottoncrank_fleet::directory::Directory;
 use cottoncrank_fleet::dispatch::{Dispatcher, Sample};
 use cottoncrank_fleet::freshness::Freshness;
-use cottoncrank_fleet::gossip::Book;
+use cottoncrank_fleet::gossip::Peers;
 use cottoncrank_fleet::halt::Halts;
+use cottoncrank_fleet::interruptions::Interruptions;
 use cottoncrank_fleet::limit::Limit;
 use cottoncrank_fleet::occupancy::{self, Counts, Sum, View};
 use cottoncrank_fleet::plan::Plans;
@@ -24,12 +24,12 @@
 use cottoncrank_fleet::presence::Presence;
 use cottoncrank_fleet::refusals;
 use cottoncrank_fleet::retries::Pool;
-use cottoncrank_fleet::roster::{Notice, Roster};
-use cottoncrank_fleet::runner::{Epoch, Life, Runner};
+use cottoncrank_fleet::roster::{Roster, Update};
+use cottoncrank_fleet::runner::{Epoch, Incarnation, Runner};
 use cottoncrank_fleet::said::Said;
 use cottoncrank_fleet::settings::Settings;
 use cottoncrank_fleet::suspects::{Origin, Table};
-use cottoncrank_fleet::trials::{Trials, Usual};
+use cottoncrank_fleet::trials::{Baseline, Trials};
 use cottoncrank_net::client::{Client, Traffic};
 use cottoncrank_platform::store::Store;
 use parking_lot::Mutex;
@@ -114,13 +114,13 @@
     /// Requests that end runners, as far as this node knows.
     pub suspects: Mutex<Table>,
     /// Up to where other nodes were told of them.
-    pub(crate) book: Mutex<Book>,
+    pub(crate) book: Mutex<Peers>,
     /// How many groups or runners there usually are for requests.
-    pub(crate) usual: Mutex<Usual>,
+    pub(crate) usual: Mutex<Baseline>,
     /// Runs of suspected requests that this node has let begin.
     pub(crate) trials: Mutex<Trials>,
     /// Tries that broke off at runners of which nothing could be found out.
-    pub(crate) breaks: Mutex<Breaks>,
+    pub(crate) breaks: Mutex<Interruptions>,
     /// Rises whenever the process did not run for a while.
     pub(crate) woken: watch::Sender<u64>,
     /// Rises whenever a request is found to end runners.
@@ -286,13 +286,13 @@
 
     /// Takes a runner's entry in, and notices a new life of it.
     pub fn put_runner(&self, runner: Runner) {
-        let (id, life) = (runner.id.clone(), runner.life);
+        let (id, life) = (runner.id.clone(), runner.incarnation);
         let ended = self.breaks.lock().take_replaced(&id, runner.address, self.now());
         suspects::take(self, &ended, Origin::Hall);
-        let notice = self.roster.lock().put(runner);
+        let notice = self.roster.lock().insert(runner);
         match (notice, life) {
-            (Notice::Restarted, Some(life)) => self.notice_restart(&id, life),
-            (Notice::Outdated, Some(life)) => {
+            (Update::Restarted, Some(life)) => self.notice_restart(&id, life),
+            (Update::Outdated, Some(life)) => {
                 log::info!(
                     "roster: an entry of {id} in life {life} is older than what is known and is passed over"
                 )
@@ -317,16 +317,16 @@
     }
 
     /// A runner has said in which life it is.
-    pub fn note_life(&self, id: &id::Runner, life: Life) {
-        if self.roster.lock().note_life(id, life) {
+    pub fn record_incarnation(&self, id: &id::Runner, life: Incarnation) {
+        if self.roster.lock().record_incarnation(id, life) {
             self.notice_restart(id, life);
             self.changed.notify_one();
         }
     }
 
     /// A runner has said in an answer that it is about to leave.
-    pub(crate) fn note_leaving(&self, id: &id::Runner, life: Option<Life>) {
-        if self.roster.lock().note_leaving(id, life) {
+    pub(crate) fn record_leaving(&self, id: &id::Runner, life: Option<Incarnation>) {
+        if self.roster.lock().record_leaving(id, life) {
             log::info!("roster: {id} says that it is about to leave");
             metrics::counter!("cottoncrank_runners_leaving_total").increment(1);
             self.changed.notify_one();
@@ -334,11 +334,11 @@
     }
 
     /// Forgets what was seen of a runner's former life.
-    fn notice_restart(&self, id: &id::Runner, life: Life) {
+    fn notice_restart(&self, id: &id::Runner, life: Incarnation) {
         log::info!("roster: {id} has started again, its life is now {life}");
         metrics::counter!("cottoncrank_runners_restarted_total").increment(1);
         self.ledger.lock().restart(id);
-        let ended = self.breaks.lock().take_former(id, life, self.now());
+        let ended = self.breaks.lock().take_earlier(id, life, self.now());
         suspects::take(self, &ended, Origin::Hall);
     }
 
@@ -411,5 +411,5 @@
 
 /// The forming of the group that a runner is in.
 fn find_epoch(roster: &Roster, id: &id::Runner) -> Option<Epoch> {
-    Some(roster.recall(id)?.membership.as_ref()?.epoch)
+    Some(roster.get_last_known(id)?.membership.as_ref()?.epoch)
 }
--- a/crates/node/src/stream.rs
+++ b/crates/node/src/stream.rs
@@ -24,7 +24,7 @@
 use crate::relay::Relay;
 use crate::source::{Next, Source, read_first};
 use crate::state::Node;
-use crate::suspects::note_completed;
+use crate::suspects::record_completed;
 use crate::throttle;
 use crate::tries::{Tries, next_attempt, refuse_suspect};
 
@@ -54,8 +54,8 @@
 /// in a task of its own, which `running` counts.
 pub async fn run(node: &Arc<Node>, job: Arc<Job>, running: Running) -> Result<Answer, Refusal> {
     let lane = job.lane();
-    let patience = Millis(job.route.objective.0 / WAITS);
-    let left = (job.arrived + job.route.objective).since(node.now());
+    let patience = Millis(job.route.target_latency.0 / WAITS);
+    let left = (job.arrived + job.route.target_latency).since(node.now());
     let reply = dispatch::ask(node, &job, Urgency::Within(left.0), &[]).await;
     if let Some(refusal) = refuse_suspect(node, &job, reply) {
         return Err(refusal);
@@ -103,14 +103,14 @@
 fn note_opening(node: &Node, job: &Job, tries: &Tries, admitted: &Admitted, refusal: Option<&Refusal>) {
     let first_try = tries.tried.len() == 1 && tries.sent == 0;
     let waited = node.now().since(job.arrived);
-    let in_time = waited <= job.route.objective;
+    let in_time = waited <= job.route.target_latency;
     if refusal.is_none() && !in_time {
         let level = admitted.level();
         let (runner, count) = (tries.tried.last().map_or("-", id::Runner::as_str), tries.tried.len());
         log::info!(
             "request {}: late: first event after {waited}, wanted within {}, try {count} at {runner}, limit {level:.0}",
             job.id(),
-            job.route.objective
+            job.route.target_latency
         );
     }
     match refusal {
@@ -128,7 +128,7 @@
         if !attempt.response.status().is_success() {
             match plain::read_whole(node, attempt).await {
                 Ok(answer) => {
-                    note_completed(node, &job.fingerprint);
+                    record_completed(node, &job.fingerprint);
                     return Ok(Opening::Whole(answer));
                 }
                 Err(error) => tries.note(node, job, &error).await,
@@ -142,7 +142,7 @@
                 return Ok(Opening::Stream(Box::new(begun)));
             }
             Ok(Next::End) => {
-                note_completed(node, &job.fingerprint);
+                record_completed(node, &job.fingerprint);
                 let begun = Begun { head, first: Bytes::new(), source, ended: true };
                 return Ok(Opening::Stream(Box::new(begun)));
             }
--- a/crates/node/src/suspects.rs
+++ b/crates/node/src/suspects.rs
@@ -47,10 +47,10 @@
     question: Q,
     wait: Millis,
 ) -> Result<A, CallError> {
-    let (push, upto) = node.book.lock().write(&node.suspects.lock(), &peer.node);
+    let (push, upto) = node.book.lock().build_push(&node.suspects.lock(), &peer.node);
     let letter = Letter { question, push };
     let reply: Reply<A> = client.call(peer.address, path, &letter, wait).await?;
-    node.book.lock().note(&peer.node, upto, reply.pull.mark);
+    node.book.lock().record_pull(&peer.node, upto, reply.pull.mark);
     take(node, &reply.pull.rows, Origin::Elsewhere);
     Ok(reply.answer)
 }
@@ -62,7 +62,7 @@
         Scope::Hall => Origin::Elsewhere,
     };
     take(node, &push.rows, origin);
-    gossip::answer(&node.suspects.lock(), node.instance, push, scope)
+    gossip::build_pull(&node.suspects.lock(), node.instance, push, scope)
 }
 
 /// Takes rows in, from wherever they come.
@@ -78,15 +78,15 @@
             changes
         };
         // An end or a run to the end: either way the run that was under way is over.
-        node.trials.lock().end(&row.fingerprint);
+        node.trials.lock().finish(&row.fingerprint);
         tell(node, &changes);
     }
 }
 
 /// A request has run to its end at a runner that lives on.
-pub(crate) fn note_completed(node: &Node, fingerprint: &Fingerprint) {
-    node.trials.lock().end(fingerprint);
-    let changes = node.suspects.lock().note_completed(fingerprint, node.now());
+pub(crate) fn record_completed(node: &Node, fingerprint: &Fingerprint) {
+    node.trials.lock().finish(fingerprint);
+    let changes = node.suspects.lock().record_completed(fingerprint, node.now());
     tell(node, &changes);
 }
 
@@ -102,7 +102,7 @@
 
 /// What speaks against a request counts no more.
 pub(crate) fn lift(node: &Node, fingerprint: &Fingerprint, why: &str) {
-    let changes = node.suspects.lock().lift(fingerprint, node.now());
+    let changes = node.suspects.lock().void_crashes(fingerprint, node.now());
     if !changes.is_empty() {
         log::info!("suspects: what speaks against {fingerprint} is lifted: {why}");
     }
@@ -135,7 +135,7 @@
 
 /// A request as a row with one end, that of the runner of a try.
 pub(crate) fn write_row(node: &Node, job: &Job, pick: &Pick) -> Row {
-    let crash = node.suspects.lock().name_crash(&pick.id, pick.life, pick.release.clone(), pick.at);
+    let crash = node.suspects.lock().identify_crash(&pick.id, pick.life, pick.release.clone(), pick.at);
     Row {
         fingerprint: job.fingerprint,
         account: job.account.clone(),
@@ -153,7 +153,7 @@
         return false;
     }
     let releases = node.roster.lock().list_releases(&job.service);
-    let outlived = node.suspects.lock().get(&job.fingerprint).is_some_and(|row| row.is_outlived(&releases));
+    let outlived = node.suspects.lock().get(&job.fingerprint).is_some_and(|row| row.is_obsolete(&releases));
     if outlived {
         lift(node, &job.fingerprint, "no runner is left of the releases that it has ended");
     }
@@ -166,9 +166,9 @@
     let level = node.suspects.lock().level(&job.fingerprint);
     let (takers, now) = (count_takers(node, job), node.now());
     let mut trials = node.trials.lock();
-    let ruling = trials.rule(&job.fingerprint, level, takers, now);
+    let ruling = trials.decide(&job.fingerprint, level, takers, now);
     if ruling == Ruling::Trial {
-        trials.begin(job.fingerprint, None, now);
+        trials.start(job.fingerprint, None, now);
     }
     ruling
 }
--- a/crates/node/src/sync.rs
+++ b/crates/node/src/sync.rs
@@ -85,13 +85,13 @@
         match self {
             SyncError::Ask(AskError::Call(CallError::Status { .. }))
             | SyncError::Old(_)
-            | SyncError::Behind { .. } => Failure::Unsure,
+            | SyncError::Behind { .. } => Failure::Stale,
             SyncError::Ask(AskError::Call(CallError::Connect { .. } | CallError::Broken { .. }))
                 if took < AT_ONCE =>
             {
-                Failure::Ended
+                Failure::Disconnected
             }
-            _ => Failure::Silent,
+            _ => Failure::TimedOut,
         }
     }
 
@@ -185,14 +185,14 @@
             let asked = self.node.now();
             match self.ask(&reader, Millis(0)).await {
                 Ok(learned) => {
-                    self.sources.note_answer(learned.contact, self.node.now());
+                    self.sources.record_answer(learned.contact, self.node.now());
                     self.take(learned, false).await;
                     return false;
                 }
                 Err(error) => {
                     log::info!("sync: {} does not say what the store holds: {error}", reader.node);
                     let took = self.node.now().since(asked);
-                    unsure |= error.failure(took) == Failure::Unsure;
+                    unsure |= error.failure(took) == Failure::Stale;
                 }
             }
         }
@@ -202,7 +202,7 @@
     /// The readers that a node asks when it starts.
     fn list_starters(&self, settings: &Settings) -> Vec<Peer> {
         let directory = self.node.directory.lock();
-        let readers = directory.list_sources(&settings.node, &settings.hall);
+        let readers = directory.list_local_readers(&settings.node, &settings.hall);
         readers.into_iter().take(START_READERS).cloned().collect()
     }
 
@@ -214,9 +214,9 @@
         }
         let outcome = match &source {
             Source::Reader(peer) => self.ask_patiently(peer, false).await,
-            Source::Senior(peer) => self.ask_patiently(peer, true).await,
+            Source::Upstream(peer) => self.ask_patiently(peer, true).await,
             Source::Store => self.read_store().await,
-            Source::Nobody(pause) => {
+            Source::Wait(pause) => {
                 self.note_away();
                 return tokio::time::sleep(pause.duration()).await;
             }
@@ -225,23 +225,23 @@
         match (outcome, source) {
             (Ok(learned), source) => {
                 match source {
-                    Source::Store => self.sources.note_store_answer(now),
-                    _ => self.sources.note_answer(learned.contact, now),
+                    Source::Store => self.sources.record_store_answer(now),
+                    _ => self.sources.record_answer(learned.contact, now),
                 }
                 let serving = !matches!(source, Source::Reader(_));
                 self.take(learned, serving).await;
             }
-            (Err(SyncError::Store(StoreError::Forgotten)), _) => self.note_forgotten(now),
+            (Err(SyncError::Store(StoreError::Forgotten)), _) => self.record_compaction(now),
             (Err(SyncError::Store(error @ StoreError::CameBack(_))), _) => {
                 log::warn!("sync: {error}; reading all anew, at {} now", self.show_position());
                 self.position = None;
             }
-            (Err(error), Source::Reader(peer) | Source::Senior(peer)) => {
+            (Err(error), Source::Reader(peer) | Source::Upstream(peer)) => {
                 figures::count_source_failure("node", error.reason());
                 log::info!("sync: {} is passed over: {error}", peer.node);
-                self.sources.note_failure(peer.node, error.failure(now.since(began)), now);
+                self.sources.record_failure(peer.node, error.failure(now.since(began)), now);
             }
-            (Err(error), Source::Store | Source::Nobody(_)) => {
+            (Err(error), Source::Store | Source::Wait(_)) => {
                 figures::count_source_failure("store", error.reason());
                 if self.reached {
                     log::warn!("sync: {error}; going on with what is known at {}", self.show_position());
@@ -251,7 +251,7 @@
                 let directory = self.node.directory.lock();
                 let rng = &mut rand::rng();
                 let deciding = self.node.is_deciding();
-                self.sources.note_store_failure(
+                self.sources.record_store_failure(
                     &settings.node,
                     &settings.hall,
                     deciding,
@@ -269,13 +269,13 @@
 
     /// The store has forgotten what this node lacks. What is known here stays the base of what
     /// other nodes are asked for: were all read anew everywhere, nothing else would get through.
-    fn note_forgotten(&mut self, now: Millis) {
+    fn record_compaction(&mut self, now: Millis) {
         log::warn!("sync: the store has forgotten the changes after {}", self.show_position());
         self.forgotten = true;
         let settings = self.node.settings();
         let directory = self.node.directory.lock();
         let (deciding, rng) = (self.node.is_deciding(), &mut rand::rng());
-        self.sources.note_forgotten(&settings.node, &settings.hall, deciding, &directory, now, rng);
+        self.sources.record_compaction(&settings.node, &settings.hall, deciding, &directory, now, rng);
     }
 
     /// Nobody says what the store holds: runners' entries may lapse meanwhile, and those
@@ -313,7 +313,7 @@
 
     /// Asks another node, for no longer than until the store has to be called.
     async fn ask_patiently(&self, peer: &Peer, reader: bool) -> Result<Learned, SyncError> {
-        let Some(left) = self.sources.patience(reader, self.node.now()) else {
+        let Some(left) = self.sources.query_timeout(reader, self.node.now()) else {
             return self.ask(peer, ASK).await;
         };
         let left = left.max(ASK_LEAST);
@@ -343,7 +343,7 @@
     async fn take(&mut self, learned: Learned, serving: bool) {
         if !self.reached {
             log::info!("sync: the store is reached again, at {}", learned.batch.position);
-            self.node.roster.lock().regain(self.node.now());
+            self.node.roster.lock().start_grace_period(self.node.now());
         }
         self.reached = true;
         self.forgotten = false;
--- a/crates/node/src/throttle.rs
+++ b/crates/node/src/throttle.rs
@@ -97,7 +97,7 @@
 pub(crate) fn forget(node: &Node) {
     let roster = node.roster.lock();
     let throttles = &mut node.said.lock().throttles;
-    throttles.retain(|id| roster.recall(id).is_some());
+    throttles.retain(|id| roster.get_last_known(id).is_some());
     node.rations.lock().retain(|id| throttles.find(id, None).is_some());
 }
 
@@ -114,7 +114,7 @@
 /// by itself.
 pub(crate) fn list_plain_claims(node: &Node) -> Vec<Told> {
     let (roster, said, now) = (node.roster.lock(), node.said.lock(), node.now());
-    let is_plain = |id: &id::Runner| roster.recall(id).is_some_and(|runner| runner.domain.is_none());
+    let is_plain = |id: &id::Runner| roster.get_last_known(id).is_some_and(|runner| runner.domain.is_none());
     said.throttles.iter().filter(|claim| is_plain(&claim.runner)).map(|claim| claim.tell(now)).collect()
 }
 
@@ -154,7 +154,7 @@
     let (epochs, runners): (Vec<Epoch>, Vec<(id::Runner, Rate)>) = {
         let throttles = &node.said.lock().throttles;
         let limited = heads.iter().filter_map(|head| {
-            let rate = throttles.find(&head.id, head.life)?;
+            let rate = throttles.find(&head.id, head.incarnation)?;
             Some((head.membership.as_ref()?.epoch, (head.id.clone(), rate)))
         });
         limited.unzip()
@@ -188,7 +188,7 @@
     let find = |epoch: Epoch| {
         let is_meant = |head: &&&Runner| head.membership.as_ref().is_some_and(|place| place.epoch == epoch);
         let head = heads.iter().find(is_meant)?;
-        throttles.find(&head.id, head.life).map(|_| &head.id)
+        throttles.find(&head.id, head.incarnation).map(|_| &head.id)
     };
     let mut rations = node.rations.lock();
     if let Some(best) = best.and_then(find) {
--- a/crates/node/src/tries.rs
+++ b/crates/node/src/tries.rs
@@ -83,8 +83,8 @@
         Some(Reply::Deadly) => Some(Refusal::Deadly),
         Some(Reply::Unknown) | None => match suspects::rule(node, job) {
             Ruling::Run | Ruling::Trial => None,
-            Ruling::Hold => Some(Refusal::Held),
-            Ruling::Refuse => Some(Refusal::Deadly),
+            Ruling::Quarantine => Some(Refusal::Held),
+            Ruling::Reject => Some(Refusal::Deadly),
         },
     }
 }
--- a/crates/node/tests/common/mod.rs
+++ b/crates/node/tests/common/mod.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 
 use cottoncrank::Millis;
-use cottoncrank_fleet::directory::Processor;
+use cottoncrank_fleet::directory::Millicores;
 use cottoncrank_fleet::settings::{Bounds, Ceiling, Settings};
 use cottoncrank_node::start::{Listeners, start};
 use cottoncrank_node::state::Node;
@@ -65,7 +65,7 @@
         ready: address(&listeners.ready),
         peers: address(&listeners.peers),
         store,
-        processor: Processor(1000),
+        processor: Millicores(1000),
         first_start: false,
         lease_min: Millis(1000),
         bounds: Bounds {
--- a/crates/node/tests/fleet.rs
+++ b/crates/node/tests/fleet.rs
@@ -28,7 +28,7 @@
         .await;
     let sources = |running: &common::Running| {
         let settings = running.node.settings();
-        running.node.directory.lock().list_sources(&settings.node, &settings.hall).len()
+        running.node.directory.lock().list_local_readers(&settings.node, &settings.hall).len()
     };
     let readers: Vec<usize> = (0..4).filter(|at| sources(&fleet.nodes[*at]) == 0).collect();
     assert_eq!(readers.len(), 1, "one node of four reads the store");
--- a/crates/node/tests/lives.rs
+++ b/crates/node/tests/lives.rs
@@ -4,13 +4,13 @@
 
 use common::Fleet;
 use cottoncrank::id;
-use cottoncrank_fleet::runner::Life;
+use cottoncrank_fleet::runner::Incarnation;
 use cottoncrank_platform_standin::operator::{ONCE, READ, STREAM};
 use cottoncrank_platform_standin::runner::{self, Runner};
 
-fn life(fleet: &Fleet, runner: &Runner) -> Vec<Option<Life>> {
+fn life(fleet: &Fleet, runner: &Runner) -> Vec<Option<Incarnation>> {
     let id: id::Runner = runner.id().parse().unwrap();
-    fleet.nodes.iter().map(|running| running.node.roster.lock().recall(&id)?.life).collect()
+    fleet.nodes.iter().map(|running| running.node.roster.lock().get_last_known(&id)?.incarnation).collect()
 }
 
 fn is_planned(fleet: &Fleet, epoch: u64) -> bool {
--- a/crates/node/tests/requests.rs
+++ b/crates/node/tests/requests.rs
@@ -6,7 +6,7 @@
 
 use common::{Fleet, KEY};
 use cottoncrank::{Millis, id};
-use cottoncrank_fleet::directory::{Peer, Processor};
+use cottoncrank_fleet::directory::{Millicores, Peer};
 use cottoncrank_fleet::settings::Settings;
 use cottoncrank_node::answer::Refusal;
 use cottoncrank_node::state::Node;
@@ -243,7 +243,7 @@
     for name in ["node-8", "node-9"] {
         let address = "127.0.0.1:9".parse().unwrap();
         let (name, hall) = (name.parse().unwrap(), "hall-a".parse().unwrap());
-        node.directory.lock().put(Peer { node: name, hall, address, processor: Processor(1000) });
+        node.directory.lock().insert(Peer { node: name, hall, address, processor: Millicores(1000) });
     }
     fleet.wait("the view covers one node of three", |_| !node.view.lock().is_usable(node.now())).await;
     refused("r2").await;
@@ -328,7 +328,7 @@
     // It would be asked first, for it has the most processor time.
     let address = "127.0.0.1:9".parse().unwrap();
     let (name, hall) = ("node-9".parse().unwrap(), "hall-a".parse().unwrap());
-    node.directory.lock().put(Peer { node: name, hall, address, processor: Processor(8000) });
+    node.directory.lock().insert(Peer { node: name, hall, address, processor: Millicores(8000) });
     for request in ["r1", "r2", "r3"] {
         assert_eq!(fleet.ask(STREAM, request).await.status, 200);
     }
