--- a/crates/fleet/src/catalog.rs
+++ b/crates/fleet/src/catalog.rs
@@ -1,11 +1,11 @@
-//! What operators want served: routes, services, accounts and limits.
+//! The configuration that operators publish: routes, services, accounts and limits.
 
 use std::collections::HashMap;
 use std::sync::Arc;
 
 use cottoncrank::{Millis, id};
 
-/// What may be repeated of a route's requests.
+/// How often a route's requests may run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
     /// A request may run any number of times.
@@ -17,7 +17,7 @@
 }
 
 impl Kind {
-    /// The name in figures and log lines.
+    /// Returns the name in metrics and log lines.
     pub fn name(self) -> &'static str {
         match self {
             Kind::Idempotent => "idempotent",
@@ -27,7 +27,7 @@
     }
 }
 
-/// A service a route leads to, and its share of the route's requests.
+/// A service that a route leads to, and its share of the route's requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Target {
     /// The service.
@@ -36,37 +36,37 @@
     pub weight: u32,
 }
 
-/// Where requests of one host and path prefix go.
+/// The rules for requests with one host and path prefix.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Route {
-    /// The name operators gave it.
+    /// The name given by operators.
     pub name: String,
-    /// The value of `Host` it answers to.
+    /// The value of the `Host` header that it matches.
     pub host: String,
     /// The path prefix; begins and ends with a slash.
     pub prefix: String,
-    /// What may be repeated.
+    /// How often its requests may run.
     pub kind: Kind,
-    /// The longest a request may be held.
+    /// The longest time to hold a request.
     pub timeout: Millis,
-    /// The time in which an answer, or the first event of a stream, is wanted.
+    /// The time within which an answer, or the first event of a stream, is wanted.
     pub target_latency: Millis,
     /// The longest pause between events that still counts as in time.
     pub target_gap: Option<Millis>,
-    /// The rank among routes, 0 first.
+    /// The priority among routes, 0 first.
     pub priority: u8,
     /// The services that run its requests.
     pub targets: Vec<Target>,
-    /// The most runners one request may be sent to.
+    /// The maximum number of runners that a request is sent to.
     pub attempts: u32,
     /// Whether a request needs no key.
     pub allow_anonymous: bool,
-    /// Whether a stream may go on at another runner after its last event.
+    /// Whether a stream may resume at another runner after its last event.
     pub resumable: bool,
 }
 
 impl Route {
-    /// Whether a request may run again after it may have run.
+    /// Whether a request that may have run may run again.
     pub fn is_repeatable(&self) -> bool {
         match self.kind {
             Kind::Idempotent => true,
@@ -75,7 +75,7 @@
         }
     }
 
-    /// The target at `point`, a number from 0 up to the sum of all weights.
+    /// Returns the target at `point`, a number from 0 up to the sum of all weights.
     pub fn pick_target(&self, point: u32) -> Option<&Target> {
         let total: u32 = self.targets.iter().map(|target| target.weight).sum();
         let mut remaining = point.checked_rem(total)?;
@@ -94,43 +94,43 @@
 pub struct Model {
     /// Its name in requests.
     pub name: id::Model,
-    /// How many runners one replica spans.
+    /// The number of runners that one replica spans.
     pub size: usize,
-    /// Its part of the service's runners, 0 to 1.
+    /// Its share of the service's runners, 0 to 1.
     pub share: f64,
-    /// How long a runner loads it from the shared weight store.
+    /// The time to load it from the shared weight store.
     pub load_time: Millis,
-    /// How long a runner loads it from its own host.
+    /// The time to load it from the runner's own host.
     pub warm_load_time: Millis,
     /// A factor on all times of its groups.
     pub pace: f64,
 }
 
-/// How fast the groups of an engine work; zero where that is not published.
+/// The speed of an engine's groups; zero where it is not published.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Speed {
-    /// How long a step takes in which each request gets a token, in milliseconds.
+    /// The time of a decoding step, in which each running request gets a token.
     pub step_ms: f64,
-    /// How much longer it takes for each request that writes, in milliseconds.
+    /// How much longer a step takes for each request that generates.
     pub per_request_ms: f64,
-    /// Steps in a pass, between which prompts are read.
+    /// Steps in a pass; prompts are read between passes.
     pub stride: f64,
-    /// Tokens of prompts that are read in a millisecond.
+    /// Prompt tokens read in a millisecond.
     pub prompt_tokens_per_ms: f64,
     /// Tokens of a usual answer.
     pub usual_answer_tokens: f64,
 }
 
-/// How the runners of a service work, where they are model engines.
+/// The properties of a service whose runners are model engines.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Engine {
     /// The models.
     pub models: Vec<Model>,
     /// Loads from the shared weight store that may begin in a second.
     pub loads_per_second: f64,
-    /// Loads that run at full speed side by side.
+    /// Loads that run at full speed concurrently.
     pub loads_at_once: usize,
-    /// How fast groups work.
+    /// The speed of groups.
     pub speed: Speed,
 }
 
@@ -148,31 +148,31 @@
 pub struct Account {
     /// Its name.
     pub id: id::Account,
-    /// The keys its requests carry.
+    /// The keys of its requests.
     pub keys: Vec<String>,
-    /// Its rank among accounts, 0 first.
+    /// Its priority among accounts, 0 first.
     pub priority: Option<u8>,
 }
 
-/// What a caller may send, and how long it may take.
+/// Limits on requests and connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// The largest head of a request, in bytes.
+    /// The maximum size of a request's head.
     pub max_head_bytes: usize,
-    /// The largest body of a request, in bytes.
+    /// The maximum size of a request's body.
     pub max_body_bytes: usize,
-    /// How long a connection may rest between requests.
+    /// How long a connection may be idle between requests.
     pub idle_timeout: Millis,
 }
 
-/// Everything operators want, at one version.
+/// One version of the configuration.
 #[derive(Clone, Debug)]
 pub struct Catalog {
-    /// The version operators gave it; it rises.
+    /// The version given by operators; it rises.
     pub version: u64,
     /// The services.
     pub services: Vec<Service>,
-    /// What callers may send.
+    /// The limits on requests and connections.
     pub limits: Limits,
     accounts: Vec<Account>,
     by_host: HashMap<String, Vec<Arc<Route>>>,
@@ -180,7 +180,7 @@
 }
 
 impl Catalog {
-    /// A catalog with its look-up tables.
+    /// Creates a catalog and its lookup tables.
     pub fn new(
         version: u64,
         routes: Vec<Route>,
@@ -202,12 +202,12 @@
         Catalog { version, services, limits, accounts, by_host, by_key }
     }
 
-    /// The route of a host with the longest prefix that begins `path`.
+    /// Returns the route of a host with the longest prefix of `path`.
     pub fn find_route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         self.by_host.get(host)?.iter().find(|route| path.starts_with(&route.prefix))
     }
 
-    /// The account that holds `key`.
+    /// Returns the account that has `key`.
     pub fn find_account(&self, key: &str) -> Option<&Account> {
         self.by_key.get(key).map(|index| &self.accounts[*index])
     }
@@ -217,12 +217,12 @@
         !self.accounts.is_empty()
     }
 
-    /// The service of that name.
+    /// Returns the service with an id.
     pub fn find_service(&self, id: &id::Service) -> Option<&Service> {
         self.services.iter().find(|service| service.id == *id)
     }
 
-    /// How many routes there are.
+    /// Returns the number of routes.
     pub fn count_routes(&self) -> usize {
         self.by_host.values().map(Vec::len).sum()
     }
--- a/crates/fleet/src/evidence.rs
+++ b/crates/fleet/src/evidence.rs
@@ -1,4 +1,5 @@
-//! What speaks against a request: the ends of runners under it, and how strongly it is suspected.
+//! Evidence against a request: the runners that crashed while it was in flight, and how strongly it is
+//! suspected.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -9,20 +10,21 @@
 use crate::fingerprint::Fingerprint;
 use crate::runner::{Incarnation, Release};
 
-/// Ends that are kept of one request: [`MIN_AMBIGUOUS_CRASHES`](crate::suspects::MIN_AMBIGUOUS_CRASHES), and some that were under way meanwhile.
+/// The maximum number of crashes kept of a request:
+/// [`MIN_AMBIGUOUS_CRASHES`](crate::suspects::MIN_AMBIGUOUS_CRASHES), and some that occurred meanwhile.
 const MAX_CRASHES: usize = 8;
 
-/// The end of a runner's process, with a request in flight there.
+/// The crash of a runner's process while a request was in flight there.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Crash {
     /// The runner.
     pub runner: id::Runner,
-    /// The incarnation that ended, where lives are told.
+    /// The incarnation that crashed, if known.
     pub life: Option<Incarnation>,
-    /// How many ends in that incarnation were known before the request was sent there: while the
-    /// store is away nodes learn of no new incarnation.
+    /// The number of crashes known in that incarnation before the request was sent: while the store is
+    /// away, nodes learn of no new incarnation.
     pub nth: u32,
-    /// The release of its software, where it is told.
+    /// The release of the runner's software, if known.
     pub release: Option<Release>,
 }
 
@@ -35,7 +37,7 @@
     }
 }
 
-/// What is known of a request. Two of the same request are merged by uniting them.
+/// The evidence against one request. Rows of the same request merge as the union of their crashes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Row {
     /// The request.
@@ -44,21 +46,22 @@
     pub account: Option<id::Account>,
     /// The name of its route, for operators.
     pub route: String,
-    /// The runners that ended with it in flight.
+    /// The crashes with it in flight.
     pub crashes: BTreeSet<Crash>,
-    /// Those of them that count no more: an operator or a release has lifted them.
+    /// Crashes that no longer count, because an operator or a new release voided them.
     pub void: BTreeSet<Crash>,
-    /// Whether it has run to its end somewhere.
+    /// Whether it completed somewhere.
     pub cleared: bool,
 }
 
 impl Row {
-    /// The ends that count, whatever else was there.
+    /// Returns the number of crashes that count, whichever other requests were in flight.
     pub fn count_crashes(&self) -> usize {
         if self.cleared { 0 } else { self.list_valid_crashes().count() }
     }
 
-    /// Whether it has ended runners of certain releases, and none of those is left.
+    /// Whether all releases that it crashed are known and none of them is among `releases`, the ones in
+    /// use.
     pub fn is_obsolete(&self, releases: &BTreeSet<Release>) -> bool {
         let mut releases_crashed = self.list_valid_crashes().map(|crash| crash.release.as_ref());
         !releases.is_empty()
@@ -69,7 +72,7 @@
         self.crashes.difference(&self.void)
     }
 
-    /// Takes in what another row of the same request says. Returns whether that was new.
+    /// Merges another row of the same request. Returns whether anything was new.
     pub(crate) fn merge(&mut self, other: &Row) -> bool {
         let before = (self.crashes.len(), self.void.len(), self.cleared);
         for crash in &other.crashes {
@@ -87,15 +90,15 @@
 /// How strongly a request is suspected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Level {
-    /// Nothing speaks against it.
+    /// There is no evidence against it.
     Clear,
-    /// Runners have ended under it, so many of them with no other request there that explains
-    /// the end better. What is explained is still run with care, for it may end runners too.
+    /// This many crashes are not better explained by another request in flight. A request whose crashes
+    /// are all explained still runs with care, because it may be deadly too.
     Suspected(usize),
-    /// It seems to end the runners that run it, so many so far. More may be heard of it: until
-    /// then it is not run.
+    /// It seems to crash its runners, this many so far. It is quarantined until other nodes had time to
+    /// report a better explanation.
     Pending(usize),
-    /// It ends the runners that run it, so many so far: it is not run any more.
+    /// It crashes its runners, this many so far: it is rejected.
     Deadly(usize),
 }
 
@@ -103,9 +106,9 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Level::Clear => f.write_str("clear"),
-            Level::Suspected(ends) => write!(f, "suspected, {ends} unexplained ends"),
-            Level::Pending(ends) => write!(f, "probably deadly, after {ends} ends"),
-            Level::Deadly(ends) => write!(f, "deadly, after {ends} ends"),
+            Level::Suspected(crashes) => write!(f, "suspected, {crashes} unexplained crashes"),
+            Level::Pending(crashes) => write!(f, "probably deadly, after {crashes} crashes"),
+            Level::Deadly(crashes) => write!(f, "deadly, after {crashes} crashes"),
         }
     }
 }
--- a/crates/fleet/src/fingerprint.rs
+++ b/crates/fleet/src/fingerprint.rs
@@ -1,4 +1,4 @@
-//! What makes two requests the same, whichever node they come to.
+//! Fingerprints, which identify equal requests at whichever node they arrive.
 
 use std::fmt::{self, Write};
 use std::str::FromStr;
@@ -7,27 +7,26 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// The length of a fingerprint in bytes: to find a request that has the same one as a given
-/// request takes some 2^128 tries.
+/// The length of a fingerprint in bytes. Finding another request with a given fingerprint takes some
+/// 2^128 tries.
 const LENGTH: usize = 16;
 
-/// The fingerprint of a request. Two requests with the same one have the same caller,
-/// method, path and body.
+/// The fingerprint of a request: equal if caller, method, path and body are equal.
 ///
-/// The hash is one for which nobody can choose a body that collides: else a caller could
-/// have another caller's request refused.
+/// The hash is collision resistant, because otherwise a caller could choose a body that gets another
+/// caller's request rejected.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Fingerprint([u8; LENGTH]);
 
-/// A fingerprint that could not be read.
+/// The error for a text that is not a fingerprint.
 #[derive(Debug, Error, PartialEq, Eq)]
 #[error("`{0}` is not a fingerprint of {digits} hexadecimal digits", digits = 2 * LENGTH)]
 pub struct FingerprintError(String);
 
-/// What a request is told apart by.
+/// The parts of a request that identify it.
 #[derive(Clone, Copy, Debug)]
 pub struct Request<'a> {
-    /// The account that sends it, if it has to name one.
+    /// The account of the caller, if callers need one.
     pub account: Option<&'a id::Account>,
     /// The method.
     pub method: &'a str,
@@ -38,12 +37,12 @@
 }
 
 impl Fingerprint {
-    /// The fingerprint of a request.
+    /// Returns the fingerprint of a request.
     pub fn of(request: &Request) -> Fingerprint {
         let mut hasher = blake3::Hasher::new();
         let account = request.account.map_or("", id::Account::as_str);
         for part in [account.as_bytes(), request.method.as_bytes(), request.path.as_bytes(), request.body] {
-            // Lengths keep the parts apart: no part can pass for the end of another.
+            // Lengths separate the parts, so that no part can pass for the end of another.
             hasher.update(&(part.len() as u64).to_le_bytes());
             hasher.update(part);
         }
--- a/crates/fleet/src/interruptions.rs
+++ b/crates/fleet/src/interruptions.rs
@@ -1,8 +1,7 @@
-//! Tries that broke off at a runner of which nothing could be found out then.
+//! Attempts that broke off at a runner while it was unknown whether the runner had crashed.
 //!
-//! A runner that is behind a cut, or whose way leads over a relay, refuses no connection when
-//! it has ended. It is known to have ended once it tells of a later incarnation, or another runner
-//! stands at its address.
+//! A crashed runner that is partitioned, or reached through a relay, does not refuse connections. Its
+//! crash becomes known once it reports a later incarnation, or another runner listens at its address.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -12,34 +11,34 @@
 use crate::evidence::Row;
 use crate::runner::{Incarnation, is_later};
 
-/// A runner that ended is back within seconds. One that ends later than this did not end
-/// under the try that broke off.
+/// How long an interruption is kept. A crashed runner is back within seconds, so a crash found later
+/// did not interrupt the attempt.
 pub const INTERRUPTION_TTL: Millis = Millis(6000);
 
-/// The tries remembered: what some ten runners with all slots in use have in flight.
+/// The maximum number kept: what some ten fully used runners have in flight.
 const MAX_INTERRUPTIONS: usize = 512;
 
-/// A try that broke off.
+/// An attempt that broke off.
 #[derive(Clone, Debug)]
 pub struct Interruption {
-    /// The request, with the end that is not known yet as its only one.
+    /// The request, with the unconfirmed crash as its only one.
     pub row: Row,
     /// The runner.
     pub runner: id::Runner,
-    /// The incarnation in which it was tried, where that was told.
+    /// The incarnation at the attempt, if known.
     pub incarnation: Option<Incarnation>,
-    /// Where it listened.
+    /// Where the runner listened.
     pub address: SocketAddr,
-    /// When it broke off.
+    /// When the attempt broke off.
     pub at: Millis,
 }
 
-/// The tries of the last seconds that broke off.
+/// The interruptions of the last seconds.
 #[derive(Clone, Debug, Default)]
 pub struct Interruptions(VecDeque<Interruption>);
 
 impl Interruptions {
-    /// A try has interruption off.
+    /// Records an interruption.
     pub fn record(&mut self, interruption: Interruption) {
         while self.0.front().is_some_and(|oldest| interruption.at >= oldest.at + INTERRUPTION_TTL)
             || self.0.len() >= MAX_INTERRUPTIONS
@@ -49,21 +48,23 @@
         self.0.push_back(interruption);
     }
 
-    /// A runner is in this incarnation now: returns what broke off in former ones.
+    /// Removes and returns what broke off in earlier incarnations of a runner, which is now in this
+    /// one.
     pub fn take_earlier(&mut self, runner: &id::Runner, incarnation: Incarnation, now: Millis) -> Vec<Row> {
         self.take_matching(now, |interruption| {
             interruption.runner == *runner && is_later(Some(incarnation), interruption.incarnation)
         })
     }
 
-    /// A runner stands at an address: returns what broke off there at another one.
+    /// Removes and returns what broke off at another runner at this address, where this runner now
+    /// listens.
     pub fn take_replaced(&mut self, runner: &id::Runner, address: SocketAddr, now: Millis) -> Vec<Row> {
         self.take_matching(now, |interruption| {
             interruption.runner != *runner && interruption.address == address
         })
     }
 
-    /// A runner has ended since it was in this incarnation: returns what broke off in it.
+    /// Removes and returns what broke off in this incarnation of a runner, which has crashed since.
     pub fn take_crashed(
         &mut self,
         runner: &id::Runner,
--- a/crates/fleet/src/position.rs
+++ b/crates/fleet/src/position.rs
@@ -1,7 +1,7 @@
-//! Where something stands in the history of the platform's store.
+//! Positions in the history of the platform's store.
 //!
-//! The store may come back from a copy some seconds old. What was written since is gone then,
-//! and the revisions are given out once more: a revision says something within its era only.
+//! The store may be restored from a copy some seconds old. Writes since that copy are lost and their
+//! revisions are used again, so a revision is meaningful only within its store era.
 
 use std::fmt;
 use std::num::ParseIntError;
@@ -10,7 +10,7 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// How often the store has come back from an older copy. It only rises.
+/// How often the store has been restored from an older copy. It only rises.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Era(pub u64);
 
@@ -27,8 +27,8 @@
     }
 }
 
-/// A revision of the store, in its era. Any position of a later era is later, whatever its
-/// revision; there is no way to compare revisions without their eras.
+/// A revision of the store in its era. Any position of a later era is later, whatever its revision;
+/// revisions can't be compared without their eras.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Position {
     era: Era,
@@ -36,17 +36,17 @@
 }
 
 impl Position {
-    /// The position of a revision.
+    /// Returns the position of a revision.
     pub fn new(era: Era, revision: u64) -> Position {
         Position { era, revision }
     }
 
-    /// Its era.
+    /// Returns its store era.
     pub fn era(self) -> Era {
         self.era
     }
 
-    /// The revision, as the store counts in this era. None if it is one of another era.
+    /// Returns the revision if it is of this era.
     pub fn revision_in(self, era: Era) -> Option<u64> {
         (self.era == era).then_some(self.revision)
     }
@@ -58,9 +58,9 @@
     }
 }
 
-/// A position that cannot be read.
+/// The error for a text that is not a position.
 #[derive(Debug, Error, PartialEq, Eq)]
-#[error("`{0}` is no position such as `2:500`")]
+#[error("`{0}` is not a store position such as `2:500`")]
 pub struct PositionError(String);
 
 impl FromStr for Position {
--- a/crates/fleet/src/presence.rs
+++ b/crates/fleet/src/presence.rs
@@ -1,10 +1,9 @@
-//! Which nodes are gone for good.
+//! Detects nodes that are gone for good.
 //!
-//! A node writes its entry once. Were each to renew its own, the store would be called in
-//! proportion to the nodes, at all times, for entries that hardly ever change. The collector of a
-//! hall hears of each node of the hall several times a second anyway, so it removes the entries of
-//! those that it hears of no more: calls go with the changes. A node whose entry was removed
-//! wrongly writes it again.
+//! A node writes its entry once. If each renewed its own, store calls would grow with the number of
+//! nodes for entries that hardly ever change. The collector of a hall receives reports from each node
+//! of the hall several times a second anyway, so it removes the entries of absent ones: calls grow with
+//! changes only. A node whose entry was removed by mistake writes it again.
 
 use std::collections::{BTreeSet, HashMap};
 
@@ -12,46 +11,46 @@
 
 use crate::directory::Directory;
 
-/// A node that was not heard of for this long is gone, where most of its hall are heard.
+/// The time without a report after which a node is gone, while most nodes of its hall report.
 pub const ABSENCE_TIMEOUT: Millis = Millis(12_000);
 
-/// The same where most of the hall are not heard, or a whole hall is not: the way there may be
-/// cut, or the collector itself cut off.
+/// The same while most of the hall or a whole hall does not report, because the network there may be
+/// partitioned, or the collector itself cut off.
 pub const MASS_ABSENCE_TIMEOUT: Millis = Millis(120_000);
 
-/// What a collector has heard of nodes.
+/// The times at which a collector last received reports.
 #[derive(Clone, Debug, Default)]
 pub struct Presence {
     /// Whether this node is the collector of its hall.
     collecting: bool,
-    /// When each node of the hall was last heard of, or first missed.
+    /// When each node of the hall last reported, or was first missed.
     nodes: HashMap<id::Node, Millis>,
     /// The same for the collectors of the other halls.
     halls: HashMap<id::Hall, Millis>,
 }
 
 impl Presence {
-    /// This node is the collector of its hall, as far as it can tell.
+    /// Records that this node is the collector of its hall, as far as it can tell.
     pub fn start_collecting(&mut self) {
         self.collecting = true;
     }
 
-    /// Another node is. What this one hears of others says nothing.
+    /// Records that another node is the collector. Reports that this node received then prove nothing.
     pub fn stop_collecting(&mut self) {
         *self = Presence::default();
     }
 
-    /// A node of the hall has reported to this one.
+    /// Records a report from a node of the hall.
     pub fn record_report(&mut self, node: &id::Node, now: Millis) {
         self.nodes.insert(node.clone(), now);
     }
 
-    /// The collector of another hall has.
+    /// Records a report from the collector of another hall.
     pub fn record_hall_report(&mut self, hall: &id::Hall, now: Millis) {
         self.halls.insert(hall.clone(), now);
     }
 
-    /// The nodes that are gone, as `me` can tell which collects in `hall`.
+    /// Returns the nodes that are gone, as far as `me`, the collector of `hall`, can tell.
     pub fn list_gone(
         &mut self,
         me: &id::Node,
@@ -71,14 +70,15 @@
         });
         let ages: Vec<(&id::Node, Millis)> = ages.collect();
         let absent = ages.iter().filter(|(_, age)| *age >= ABSENCE_TIMEOUT).count();
-        // This node is one that is there.
+        // The count of absent nodes leaves this node out, which is present.
         let most_present = absent <= local_nodes.len() / 2;
         let timeout = if most_present { ABSENCE_TIMEOUT } else { MASS_ABSENCE_TIMEOUT };
         let gone = ages.into_iter().filter(|(_, age)| *age >= timeout).map(|(node, _)| node.clone());
         gone.chain(self.list_gone_elsewhere(hall, directory, now)).collect()
     }
 
-    /// The nodes of halls that are silent as a whole: the first hall that is not looks after them.
+    /// Returns the nodes of halls whose collectors are absent. Only the first hall that is present
+    /// removes them.
     fn list_gone_elsewhere(&mut self, hall: &id::Hall, directory: &Directory, now: Millis) -> Vec<id::Node> {
         let others: BTreeSet<&id::Hall> =
             directory.list_halls().into_iter().filter(|other| *other != hall).collect();
--- a/crates/fleet/src/roster.rs
+++ b/crates/fleet/src/roster.rs
@@ -1,4 +1,4 @@
-//! The runners a node believes in, and the groups they stand in.
+//! The runners known to a node, and the heads among them that take requests.
 
 use std::collections::{BTreeSet, HashMap, HashSet};
 
@@ -8,13 +8,12 @@
 use crate::runner::{Incarnation, Phase, Release, Runner, is_later};
 use crate::said::Leaving;
 
-/// Runners whose entry lapsed while the store was away are given this long
-/// after its return to write themselves in again. The platform names about two
-/// seconds.
+/// The time given to runners whose entry lapsed while the store was away to write it again after the
+/// store recovered. The platform specifies about two seconds.
 pub const RETURN_GRACE: Millis = Millis(2300);
 
-/// A runner whose entry is gone is remembered for this long: as long as one may
-/// be cut off from the store and still run requests.
+/// How long a runner without an entry is remembered: as long as one may be cut off from the store and
+/// still run requests.
 pub const DEPARTED_TTL: Millis = Millis(60_000);
 
 #[derive(Clone, Debug)]
@@ -24,24 +23,24 @@
     missing: Option<Millis>,
 }
 
-/// What an entry told of a runner's incarnation.
+/// What a new entry says about a runner's incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Update {
-    /// It is the incarnation that was known, or lives are not told.
+    /// It is of the known incarnation, or incarnations are not reported.
     Current,
-    /// The runner has started again under its id.
+    /// The runner restarted under its id.
     Restarted,
-    /// The entry is of a former incarnation, or of an earlier moment of this one.
+    /// It is of an earlier incarnation, or of an earlier time of this one.
     Outdated,
 }
 
-/// All runners, by id.
+/// All runners by id.
 #[derive(Clone, Debug, Default)]
 pub struct Roster {
     entries: HashMap<id::Runner, Entry>,
-    /// Runners whose entry is gone, and since when. They may still be there.
+    /// Runners whose entry is gone, and since when. They may still run.
     departed: HashMap<id::Runner, (Runner, Millis)>,
-    /// Runners that have said in an answer that they are about to leave, and in which incarnation.
+    /// Runners that announced in an answer that they are about to leave, and in which incarnation.
     leaving: HashMap<id::Runner, Option<Incarnation>>,
     /// Until when a missing entry may still come back.
     grace_until: Millis,
@@ -54,8 +53,8 @@
 }
 
 impl Roster {
-    /// A runner has written its entry. What it served before in the same incarnation is kept. An
-    /// entry of a former incarnation, which may come late, is passed over.
+    /// Inserts a runner as its entry describes it. Keeps the model that it served last in the same
+    /// incarnation. Ignores a late entry of an earlier incarnation.
     pub fn insert(&mut self, mut runner: Runner) -> Update {
         let known = self.get_last_known(&runner.id);
         let previous = known.and_then(|known| known.incarnation);
@@ -66,15 +65,15 @@
         let served = known.filter(|_| update == Update::Current).and_then(|known| known.served.clone());
         runner.served = runner.models.first().cloned().or(served);
         runner.incarnation = runner.incarnation.or(previous);
-        // Entries lag behind answers, and stand still while the store is away.
+        // Entries lag behind answers, and don't change while the store is away.
         runner.draining |= self.is_leaving(&runner.id, runner.incarnation);
         self.departed.remove(&runner.id);
         self.entries.insert(runner.id.clone(), Entry { runner, missing: None });
         update
     }
 
-    /// A runner has said in which incarnation it is. Returns whether that is a later one than was
-    /// known: its entry then still tells of the former one, and nothing of that holds.
+    /// Records the incarnation that a runner reported. Returns whether it is later than the known one:
+    /// the entry then still describes the earlier one, so its state is reset.
     pub fn record_incarnation(&mut self, id: &id::Runner, incarnation: Incarnation) -> bool {
         let entry = self.entries.get_mut(id).map(|entry| &mut entry.runner);
         let known = entry.or_else(|| self.departed.get_mut(id).map(|(runner, _)| runner));
@@ -89,8 +88,8 @@
         later
     }
 
-    /// A runner has said in an answer, given in this incarnation as far as that is told, that it is
-    /// about to leave: from now on it is, whatever its entry says. Returns whether that is new.
+    /// Records that a runner announced in an answer, of this incarnation if known, that it is about to
+    /// leave. It counts as draining from now on, whatever its entry says. Returns whether that is new.
     pub fn record_leaving(&mut self, id: &id::Runner, incarnation: Option<Incarnation>) -> bool {
         let Some(known) = self.get_last_known(id) else { return false };
         if is_later(known.incarnation, incarnation) || self.is_leaving(id, known.incarnation) {
@@ -104,24 +103,24 @@
         new
     }
 
-    /// The runners that have said in an answer that they are about to leave.
+    /// Returns the runners that announced in an answer that they are about to leave.
     pub fn list_leaving(&self) -> Vec<Leaving> {
         let leaving = self.leaving.iter();
         leaving.map(|(id, incarnation)| Leaving { runner: id.clone(), life: *incarnation }).collect()
     }
 
-    /// Whether a runner has said in this incarnation that it is about to leave.
+    /// Whether a runner announced in this incarnation that it is about to leave.
     fn is_leaving(&self, id: &id::Runner, incarnation: Option<Incarnation>) -> bool {
         self.leaving.get(id).is_some_and(|left_in| !is_later(incarnation, *left_in))
     }
 
-    /// A runner's entry cannot be read: it names no runner to use, from now on, whether or
-    /// not the store was away. Requests that run there are not touched.
+    /// Removes a runner whose entry is invalid, without the grace period after an outage of the store.
+    /// Requests that run there continue.
     pub fn discard(&mut self, id: &id::Runner, now: Millis) {
         self.mark_departed(id, now);
     }
 
-    /// A runner's entry is gone.
+    /// Removes a runner whose entry is gone, or marks it as missing during the grace period.
     pub fn remove(&mut self, id: &id::Runner, now: Millis) {
         if now >= self.grace_until {
             self.mark_departed(id, now);
@@ -130,7 +129,7 @@
         }
     }
 
-    /// All entries as read at once; those that are not among them are gone.
+    /// Replaces all entries by a full read; runners that are not in it are removed.
     pub fn replace(&mut self, runners: Vec<Runner>, now: Millis) {
         let kept: HashSet<&id::Runner> = runners.iter().map(|runner| &runner.id).collect();
         let gone: Vec<id::Runner> = self.entries.keys().filter(|id| !kept.contains(id)).cloned().collect();
@@ -142,12 +141,12 @@
         }
     }
 
-    /// The store answers again after it did not: missing entries may come back.
+    /// Starts the grace period for missing entries, after the store recovered.
     pub fn start_grace_period(&mut self, now: Millis) {
         self.grace_until = now + RETURN_GRACE;
     }
 
-    /// Takes those runners as gone whose time to come back is over. Returns them.
+    /// Removes the runners still missing after the grace period and returns them.
     pub fn expire(&mut self, now: Millis) -> Vec<id::Runner> {
         if now < self.grace_until {
             return Vec::new();
@@ -168,23 +167,23 @@
         self.leaving.retain(|id, _| self.entries.contains_key(id) || self.departed.contains_key(id));
     }
 
-    /// A runner as it last described itself, its entry may be gone.
+    /// Returns a runner as it last described itself, even if its entry is gone.
     pub fn get_last_known(&self, id: &id::Runner) -> Option<&Runner> {
         self.get(id).or_else(|| self.departed.get(id).map(|(runner, _)| runner))
     }
 
-    /// A runner.
+    /// Returns a runner that has an entry.
     pub fn get(&self, id: &id::Runner) -> Option<&Runner> {
         self.entries.get(id).map(|entry| &entry.runner)
     }
 
-    /// All runners, in no order.
+    /// Returns all runners, in no order.
     pub fn iter(&self) -> impl Iterator<Item = &Runner> {
         self.entries.values().map(|entry| &entry.runner)
     }
 
-    /// The heads that take requests for `model`: those of groups that stand in
-    /// the plans and are not given up. The decider looks after the other members.
+    /// Returns the heads that take requests for `model`: those of groups that are planned and not
+    /// retired. The decider checks the other members.
     pub fn list_heads(&self, service: &id::Service, model: &id::Model, plans: &Plans) -> Vec<&Runner> {
         let groups = plans.values().flat_map(|plan| &plan.groups);
         let wanted =
@@ -195,13 +194,13 @@
             .collect()
     }
 
-    /// The releases of the runners of a service, as far as they are told.
+    /// Returns the known releases of the runners of a service.
     pub fn list_releases(&self, service: &id::Service) -> BTreeSet<Release> {
         let runners = self.iter().filter(|runner| runner.service == *service);
         runners.filter_map(|runner| runner.release.clone()).collect()
     }
 
-    /// The runners of a plain service that may be sent requests.
+    /// Returns the runners of a plain service that may be sent requests.
     pub fn list_plain<'a>(&'a self, service: &id::Service) -> Vec<&'a Runner> {
         self.iter().filter(|runner| runner.service == *service && !runner.draining).collect()
     }
--- a/crates/fleet/src/runner.rs
+++ b/crates/fleet/src/runner.rs
@@ -1,4 +1,4 @@
-//! A runner as it describes itself: one backend server, alone or in a group.
+//! A runner as its entry describes it: one backend server, alone or in a group.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -8,12 +8,12 @@
 use cottoncrank::id;
 use serde::{Deserialize, Serialize};
 
-/// The number of one forming of a group. It only rises, over all groups.
+/// The number of one formation of a group. It only rises, over all groups.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Epoch(pub u64);
 
 impl Epoch {
-    /// The epoch that follows.
+    /// Returns the epoch that follows.
     pub fn next(self) -> Epoch {
         Epoch(self.0 + 1)
     }
@@ -25,9 +25,9 @@
     }
 }
 
-/// One incarnation of a runner: the start of its process, in milliseconds by the clock of its own
-/// box. A runner may start again under its id, and then holds and knows nothing of
-/// before. Lives are compared for one runner only, and never with a clock of ours.
+/// One run of a runner's process: its start time in milliseconds by the clock of its own box. A runner
+/// that restarts under its id has lost all state. Incarnations are compared for one runner only, and
+/// never with a clock of this process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Incarnation(pub u64);
 
@@ -54,13 +54,12 @@
     }
 }
 
-/// Whether `reported` is a later incarnation of a runner than `known`. Where one of them is not
-/// told, nothing can be concluded.
+/// Whether `reported` is a later incarnation of a runner than `known`. False if either is unknown.
 pub fn is_later(reported: Option<Incarnation>, known: Option<Incarnation>) -> bool {
     reported.zip(known).is_some_and(|(reported, known)| reported > known)
 }
 
-/// How far a runner is in its group.
+/// The progress of a runner in its group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Phase {
     /// It loads the model.
@@ -71,60 +70,60 @@
     Open,
     /// It is the head, finishes its requests and takes no more.
     Closing,
-    /// The group stood still for too long and takes nothing any more.
+    /// The group was stalled for too long and takes no more requests.
     Broken,
 }
 
-/// A runner's place in a group.
+/// A runner's membership of a group.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Membership {
     /// The group.
     pub group: id::Group,
-    /// Which forming of it.
+    /// The formation of the group.
     pub epoch: Epoch,
-    /// Its place; rank 0 is the head, which takes the requests.
+    /// Its rank; rank 0 is the head, which takes the requests.
     pub rank: usize,
-    /// How far it is.
+    /// Its progress.
     pub phase: Phase,
 }
 
 /// A runner.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Runner {
-    /// Its id. Its process may start again under the same one.
+    /// Its id, which a restarted process keeps.
     pub id: id::Runner,
-    /// Which incarnation of it this is about, where the platform says so.
+    /// The incarnation described here, if the platform reports it.
     pub incarnation: Option<Incarnation>,
-    /// The release of its software, where the platform says so.
+    /// The release of its software, if the platform reports it.
     pub release: Option<Release>,
-    /// How many orders it has taken in this incarnation, where the platform says so.
+    /// The number of orders accepted in this incarnation, if the platform reports it.
     pub orders: Option<u64>,
     /// The service it belongs to.
     pub service: id::Service,
     /// Where it listens.
     pub address: SocketAddr,
-    /// The data hall it stands in.
+    /// Its data hall.
     pub hall: id::Hall,
-    /// The fabric domain, where it is a model engine.
+    /// Its fabric domain, if it is a model engine.
     pub domain: Option<id::Domain>,
-    /// How many requests it runs at once; more than that wait.
+    /// The number of requests it runs at once; more are queued.
     pub slots: u32,
-    /// Whether it has said that it is about to leave.
+    /// Whether it announced that it is about to leave.
     pub draining: bool,
-    /// The models it has loaded, as its entry says: none once it has left its group.
+    /// The models loaded according to its entry: none once it has left its group.
     pub models: Vec<id::Model>,
-    /// The model it served last in this incarnation, if that was seen. It joins a group of it
-    /// at once, though its entry does not tell.
+    /// The model that it served last in this incarnation, if known. It joins a group of that model
+    /// without loading, though its entry does not say so.
     pub served: Option<id::Model>,
-    /// The models its host keeps a copy of.
+    /// The models of which its host keeps a copy.
     pub staged: Vec<id::Model>,
-    /// Its place in a group.
+    /// Its membership of a group.
     pub membership: Option<Membership>,
 }
 
 impl Runner {
-    /// Starts it anew: it is in no group and has no model loaded. What its host keeps
-    /// outlasts its process.
+    /// Resets it to the state after a restart: in no group, with no model loaded. The copies kept by
+    /// its host remain.
     pub fn restart(&mut self, incarnation: Incarnation) {
         self.incarnation = Some(incarnation);
         self.orders = None;
@@ -134,8 +133,8 @@
         self.membership = None;
     }
 
-    /// Whether this tells of an earlier moment of the same incarnation than `known`: orders are only
-    /// counted up. The store may have come back from an older copy.
+    /// Whether this describes an earlier time of the same incarnation than `known`, which happens if
+    /// the store was restored from an older copy. The count of orders only rises.
     pub fn is_older_than(&self, known: &Runner) -> bool {
         let same_life = self.incarnation.is_some() && self.incarnation == known.incarnation;
         same_life && self.orders.zip(known.orders).is_some_and(|(reported, known)| reported < known)
--- a/crates/fleet/src/source.rs
+++ b/crates/fleet/src/source.rs
@@ -1,110 +1,108 @@
-//! Whom a node asks for what the store holds, and how often the store is called where
-//! nobody can say.
+//! Picks where a node learns of changes of the store, and bounds how often the store is called during
+//! an outage.
 //!
-//! The deciding node reads the store, for all others wait for what it does. The readers
-//! of the halls ask it, and all others ask those. While nobody decides, the first reader
-//! of each hall reads the store and the readers after it ask that one. Where the readers of
-//! a hall know nothing, those of other halls are asked, and the deciding node: the store
-//! may turn single boxes away and serve all others, readers and the deciding node too.
+//! The decider polls the store for everybody. The readers of each hall poll the decider, and all other
+//! nodes poll the readers of their hall. Without a decider, the first reader of each hall polls the
+//! store, and the readers ranked after it poll that one. If the readers of a hall know nothing, a node
+//! asks those of other halls and other nodes, because the store may reject single boxes while it serves
+//! all others; readers and the decider can be affected as well.
 //!
-//! Nodes that give no answer say nothing of the store: their processes may all have ended
-//! at once. So a part of the time in which configurations must be in force bounds how long
-//! a node goes without last_contact before it calls the store itself. Only where the store gave
-//! this node no answer is it called the less often the more nodes there are, readers first:
-//! all would call it as long as an outage lasts.
+//! A node that does not answer says nothing about the store, because its process may have ended
+//! together with many others. Therefore a node calls the store itself once its last contact is older
+//! than a fraction of the time within which configurations must be in force. Only where the store
+//! itself failed to answer does the backoff grow with the number of nodes, readers first: otherwise all
+//! nodes would call it for as long as the outage lasts.
 
 use cottoncrank::{Millis, id};
 use rand::Rng;
 
 use crate::directory::{Directory, Peer};
 
-/// A node that failed to answer in time is not asked for this long: to ask it again would
-/// cost as much time as before.
+/// The backoff from a node that did not answer in time, because asking it again would cost the same
+/// timeout.
 const TIMEOUT_BACKOFF: Millis = Millis(3000);
 
-/// A node that fails at once, or has no proof of the store at present, is not asked for
-/// this long: its process starts again, or the store is back.
+/// The backoff from a node that failed at once or has no proof of freshness. It is short because the
+/// process may have restarted, or the store may have recovered.
 const FAILURE_BACKOFF: Millis = Millis(600);
 
-/// The pause of a hall's first reader after a failed call: at min_pause this, at most twice.
-/// The readers after it pause twice as long each.
+/// The shortest backoff of a hall's first reader after a failed call to the store; with jitter, up to
+/// twice as long. It doubles with the rank of the reader.
 const STORE_BACKOFF: Millis = Millis(200);
 
-/// The part of the time in which configurations must be in force, in hundredths, that a
-/// node may be without last_contact before it calls the store. What is left of two seconds is
-/// enough for one call to a store that answers slowly, in a quarter of a second. By
-/// its pauses alone, a node that lives through a restart of most others would go without for long.
+/// The staleness at which a node calls the store itself, in percent of the time within which
+/// configurations must be in force. Of two seconds, the remainder allows one call to a store that takes
+/// a quarter of a second to answer. Backoffs alone would leave a node without contact for long if most
+/// other nodes restarted.
 const STALENESS_PERCENT: u64 = 60;
 
-/// The same for the readers and the deciding node: those that ask them then have their
-/// answer before they call the store themselves.
+/// The same for readers and the decider. It is lower so that they have an answer for the nodes that
+/// poll them before those call the store themselves.
 const READER_STALENESS_PERCENT: u64 = 45;
 
-/// No reader pauses longer than this factor times the first one.
+/// The upper bound of a reader's backoff, as a multiple of [`STORE_BACKOFF`].
 const MAX_BACKOFF_FACTOR: u64 = 16;
 
-/// All nodes that are not readers together call the store once in this time at most,
-/// where no reader can say what it holds: hundreds of them would use up its rate in an outage.
+/// The shortest interval between store calls of all non-readers together while no reader knows the
+/// store's content. Hundreds of nodes would otherwise exhaust the store's rate limit in an outage.
 const SHARED_CALL_INTERVAL: Millis = Millis(50);
 
-/// So many readers of other halls are asked where those of the own hall do not know what
-/// the store holds, others each [`FAILURE_BACKOFF`]: all of two or three may be turned away
-/// as well. Each costs a call between halls every 0.6 s of an outage.
+/// The number of readers of other halls to ask while those of the own hall know nothing, others in each
+/// [`FAILURE_BACKOFF`]. A single one is not enough, because the store may reject two or three boxes at
+/// once. Each costs a call between halls every 0.6 s of an outage.
 const REMOTE_READERS_ASKED: usize = 2;
 
-/// And so many nodes that are no readers: in a small fleet the store may serve only those.
+/// The number of non-readers to ask after that: in a small fleet the store may serve only those.
 const NON_READERS_ASKED: usize = 2;
 
-/// Where the store itself has answered a node no longer ago than this, it is called
-/// without a pause while no other node can say what it holds.
+/// A node that the store answered within this time calls it without a backoff while no other node knows
+/// its content.
 const STORE_REACHED_TTL: Millis = Millis(2000);
 
-/// Where a node learns next.
+/// Where a node learns of changes next.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Source {
-    /// The store.
+    /// The store itself.
     Store,
-    /// Another node, which this one asks for its hall.
+    /// A node that this one polls on behalf of its hall.
     Upstream(Peer),
-    /// Another node, which this one asks for itself alone.
+    /// A node that this one polls for itself alone.
     Reader(Peer),
-    /// Wait for this long.
+    /// Nowhere: the node waits for this long.
     Wait(Millis),
 }
 
-/// Why a node gave no answer that can be used.
+/// Why a queried node gave no usable answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// It says that it has no proof of the store at present, or knows less than the node
-    /// that asks.
+    /// It has no proof of freshness, or knows less than the querying node.
     Stale,
-    /// It refused or broke the connection at once: its process has ended, and is back
-    /// within half a second as a rule. To ask again costs nothing.
+    /// It refused or closed the connection at once. Its process has ended and is usually back within
+    /// half a second, so asking again costs nothing.
     Disconnected,
     /// It did not answer in time.
     TimedOut,
 }
 
-/// What a node remembers of those it asks.
+/// The state by which a node picks its sources: its last contact and the current backoffs.
 #[derive(Clone, Debug)]
 pub struct Sources {
-    /// The time in which configurations must be in force.
+    /// The time within which configurations must be in force.
     bound: Millis,
-    /// Up to when this node surely knows all that the store held.
+    /// The latest time up to which this node knows every change of the store.
     last_contact: Option<Millis>,
-    /// Nodes that are not asked, and until when.
+    /// Nodes that must not be queried, and until when.
     backoffs: Vec<(id::Node, Millis)>,
-    /// When the store may be called, after it gave no answer or while nobody could say
-    /// what it holds.
+    /// When the store may be called again, after it gave no answer or while no node knew its content.
     store_retry_at: Option<Millis>,
-    /// Failed calls to the store in a row.
+    /// Consecutive failed calls to the store.
     store_failures: u32,
     /// When the store itself last answered this node.
     store_answered_at: Option<Millis>,
 }
 
 impl Sources {
-    /// Nothing is remembered yet. Configurations must be in force within `bound`.
+    /// Creates an empty state. Configurations must be in force within `bound`.
     pub fn new(bound: Millis) -> Sources {
         Sources {
             bound,
@@ -116,7 +114,7 @@
         }
     }
 
-    /// Where `me` learns next. `decider` is the node that decides, if it is readers.
+    /// Picks the next source of `me`. `decider` is the decider, if known.
     pub fn pick(
         &mut self,
         me: &id::Node,
@@ -141,8 +139,8 @@
         }
     }
 
-    /// Where `me` learns next that decides for the fleet, or reads the store for its hall:
-    /// from the store, unless that gave it no answer lately.
+    /// Picks the next source of a node that is the decider or reads the store on behalf of its hall:
+    /// the store, unless it is backing off from it.
     pub fn pick_store(
         &mut self,
         me: &id::Node,
@@ -191,7 +189,7 @@
         self.call_or_wait(now)
     }
 
-    /// A node to ask where the readers of the own hall do not know what the store holds.
+    /// Picks a node to query while the readers of the own hall do not know the store's content.
     fn pick_fallback<'a>(
         &self,
         me: &id::Node,
@@ -215,7 +213,7 @@
         self.store_retry_at.is_none_or(|at| now >= at)
     }
 
-    /// When this node has been without last_contact for too long.
+    /// Returns when the last contact of this node becomes too old.
     fn overdue_at(&self, reader: bool) -> Option<Millis> {
         let percent = if reader { READER_STALENESS_PERCENT } else { STALENESS_PERCENT };
         self.last_contact.map(|last_contact| last_contact + Millis(self.bound.0 * percent / 100))
@@ -225,7 +223,8 @@
         self.overdue_at(reader).is_some_and(|overdue_at| now >= overdue_at)
     }
 
-    /// How long a question to another node may take: until the store has to be called.
+    /// Returns how long a query to another node may take: until the store has to be called. None if the
+    /// store may not be called or there was no contact yet.
     pub fn query_timeout(&self, reader: bool, now: Millis) -> Option<Millis> {
         if !self.can_call_store(now) {
             return None;
@@ -233,14 +232,14 @@
         self.overdue_at(reader).map(|overdue_at| overdue_at.since(now))
     }
 
-    /// Whether an answer is of use that comes from a node which was without last_contact for
-    /// so long.
+    /// Whether an answer is usable that comes from a node whose contact with the store has this
+    /// staleness.
     pub fn accepts(&self, staleness: Millis) -> bool {
         staleness < Millis(self.bound.0 * STALENESS_PERCENT / 100)
     }
 
-    /// The store, if it may be called; else a pause until then, or until a node may be
-    /// asked again.
+    /// Returns the store if it may be called; else a wait until then, or until another node may be
+    /// queried.
     pub fn call_or_wait(&self, now: Millis) -> Source {
         match self.store_retry_at.filter(|at| now < *at) {
             None => Source::Store,
@@ -251,13 +250,14 @@
         }
     }
 
-    /// A node gave no answer that can be used.
+    /// Records that a node gave no usable answer.
     pub fn record_failure(&mut self, node: id::Node, failure: Failure, now: Millis) {
         let span = if failure == Failure::TimedOut { TIMEOUT_BACKOFF } else { FAILURE_BACKOFF };
         self.backoffs.push((node, now + span));
     }
 
-    /// The store gave no answer to `me`, which decides for the fleet or not.
+    /// Records that the store gave `me` no answer, and sets the backoff. `deciding` says whether `me`
+    /// is the decider.
     pub fn record_store_failure(
         &mut self,
         me: &id::Node,
@@ -271,10 +271,10 @@
         let store_failures = self.store_failures as usize;
         let min_pause = match rank {
             _ if deciding => STORE_BACKOFF,
-            // Others know what the store holds: it turns this box away.
+            // Other nodes know the store's content: the store rejects only this box.
             Some(rank) if !self.is_overdue(true, now) => compute_backoff(rank.max(store_failures)),
             Some(rank) => compute_backoff(rank),
-            // A node that knows no other cannot know how many call beside it.
+            // A node that knows no other cannot tell how many call the store beside it.
             None if directory.count() <= 1 => compute_backoff(store_failures),
             None => compute_call_interval(directory).max(STORE_BACKOFF),
         };
@@ -282,10 +282,10 @@
         self.store_retry_at = Some(now + add_jitter(min_pause, rng));
     }
 
-    /// The store answered `me` that it has forgotten the changes asked for. All that it holds is
-    /// read by the deciding node and the first reader of each hall, at once, and by others only
-    /// where those do not tell what has changed: all nodes lack the same, and all that the store
-    /// holds, read by each, takes its link for longer than a configuration may take.
+    /// Records that the store no longer has the changes that `me` asked for. Only the decider and the
+    /// first reader of each hall then read the full content at once. All others wait for those to pass
+    /// on the changes, because every node lacks the same ones, and full reads by all of them would
+    /// occupy the store's link for longer than a configuration may take to be in force.
     pub fn record_compaction(
         &mut self,
         me: &id::Node,
@@ -298,16 +298,16 @@
         let min_pause = match find_rank(me, hall, directory) {
             _ if deciding || directory.count() <= 1 => return,
             Some(0) => return,
-            // Those that had nothing to tell are asked again before that.
+            // Nodes that had no changes to send are queried again before the backoff ends.
             Some(rank) => compute_backoff(rank).max(FAILURE_BACKOFF),
             None => compute_call_interval(directory).max(FAILURE_BACKOFF),
         };
-        // Another node that knows no more either does not end the pause.
+        // Counts as a failure so that the answer of a node that knows no more does not end the backoff.
         self.store_failures += 1;
         self.store_retry_at = Some(now + add_jitter(min_pause, rng));
     }
 
-    /// The store itself has answered.
+    /// Records that the store itself answered.
     pub fn record_store_answer(&mut self, now: Millis) {
         self.store_answered_at = Some(now);
         self.last_contact = Some(now);
@@ -315,8 +315,8 @@
         self.store_failures = 0;
     }
 
-    /// A node has answered that knows all that the store held up to `last_contact`. A store that
-    /// gave this node no answer is left alone for as long as before.
+    /// Records the answer of a node that knows every change of the store up to `last_contact`. It does
+    /// not shorten the backoff from a store that gave this node no answer.
     pub fn record_answer(&mut self, last_contact: Millis, now: Millis) {
         self.last_contact = self.last_contact.max(Some(last_contact));
         if self.store_failures == 0 || self.can_call_store(now) {
@@ -326,22 +326,22 @@
     }
 }
 
-/// The place of `me` among the readers of its hall.
+/// Returns the rank of `me` among the readers of its hall.
 fn find_rank(me: &id::Node, hall: &id::Hall, directory: &Directory) -> Option<usize> {
     directory.list_readers(hall).iter().position(|peer| peer.node == *me)
 }
 
-/// The min_pause pause after so many steps.
+/// Returns the shortest backoff after `steps` doublings.
 fn compute_backoff(steps: usize) -> Millis {
     Millis(STORE_BACKOFF.0 * (1 << steps.min(16)).min(MAX_BACKOFF_FACTOR))
 }
 
-/// A pause of at min_pause `min_pause`, at most twice.
+/// Returns a random backoff between `min_pause` and twice that.
 fn add_jitter(min_pause: Millis, rng: &mut impl Rng) -> Millis {
     min_pause + Millis(rng.random_range(0..=min_pause.0))
 }
 
-/// So many of these nodes, others each [`FAILURE_BACKOFF`].
+/// Returns `width` of the nodes, others in each [`FAILURE_BACKOFF`].
 fn pick_rotating(peers: Vec<&Peer>, width: usize, now: Millis) -> Vec<&Peer> {
     let turn = (now.0 / FAILURE_BACKOFF.0) as usize;
     let width = width.min(peers.len());
@@ -349,7 +349,7 @@
     peers.into_iter().cycle().skip(first).take(width).collect()
 }
 
-/// The time in which each of the nodes calls the store once.
+/// Returns the interval in which each node of the fleet calls the store once.
 fn compute_call_interval(directory: &Directory) -> Millis {
     Millis(SHARED_CALL_INTERVAL.0 * directory.count() as u64)
 }
--- a/crates/fleet/src/suspects.rs
+++ b/crates/fleet/src/suspects.rs
@@ -1,14 +1,13 @@
-//! Requests that end the runners which run them, told apart from those that were only there.
+//! Tells requests that crash their runners from those that were only in flight at the same time.
 //!
-//! The load this answers: one request comes again and again, at any node, and each runner that
-//! begins it ends. With it end, by the dozen, requests that had nothing to do with it. Each node
-//! sees a part: which of its crashes requests were in flight at a runner when that ended. All nodes
-//! merge what they see into one table, in any order and any number of times, and come to the
-//! same levels.
+//! A deadly request comes again and again, at any node, and crashes each runner that executes it. With
+//! each crash fail dozens of unrelated requests. Each node sees a part: which of its own requests were
+//! in flight at a runner when it crashed. All nodes merge what they see into one table, in any order
+//! and any number of times, and arrive at the same levels.
 //!
-//! A request is under suspicion for each end that nothing else explains better. An end is
-//! explained by the request that was there at the most ends. Whatever has run to its end
-//! anywhere is cleared for good: what ends each runner that begins it cannot have.
+//! A request is suspected for each crash that no other request explains better. A crash is explained by
+//! the request that was in flight at the most crashes. A request that completed anywhere is cleared for
+//! good, because a deadly one cannot complete.
 
 use std::collections::{BTreeSet, HashMap, HashSet};
 
@@ -18,32 +17,33 @@
 use crate::fingerprint::Fingerprint;
 use crate::runner::{Incarnation, Release};
 
-/// So many ends under one request tell that it is what ends them: this many are allowed
-/// before it has to be held back, and a request that is there by chance at three in a row,
-/// and ran to its end nowhere in between, is rare.
+/// The number of crashes that makes a request deadly. A deadly request may cause this many before it
+/// must be quarantined, and a harmless one is rarely in flight at three crashes in a row without
+/// completing anywhere in between.
 pub const MIN_CRASHES: usize = 3;
 
-/// After so many, a request is held back also where another one was at all the same ends:
-/// until then they can be told apart by another run of each, apart from the other.
+/// The number of crashes that makes a request deadly even if another one was in flight at all the same
+/// crashes. Before that, another run of each, isolated from the other, can tell them apart.
 pub const MIN_AMBIGUOUS_CRASHES: usize = 5;
 
-/// A request is held back for good this long after its third end was first_seen of: what ended the
-/// same runners may be known better at other nodes, and collectors tell each other every
-/// 0.15 s. It spares the ones that were at three of its ends by chance.
+/// The delay between the third known crash of a request and its rejection. Other nodes may know a
+/// better explanation of these crashes, and collectors exchange rows every 0.15 s. The delay spares
+/// requests that were in flight at three of them by chance.
 const SETTLE_DELAY: Millis = Millis(300);
 
-/// How long a request is remembered after its last end. Runners are sacrificed once in
-/// this time to one that is still deadly; an hour gives operators the time to see it.
+/// How long a request is remembered after its last crash. A request that is still deadly crashes
+/// runners again once in this time; an hour gives operators the time to see it.
 pub const SUSPECT_TTL: Millis = Millis(3_600_000);
 
-/// The requests that are remembered, over all accounts: 1 MB.
+/// The maximum number of requests remembered, over all accounts: 1 MB.
 const MAX_ROWS: usize = 4096;
 
-/// And of one account. Nobody can push out what is known of others. Most requests of a
-/// fleet may be of one account, and each deadly one puts those beside it under suspicion.
+/// The maximum per account, so that no account can evict what is known of others. It is large because
+/// most requests of a fleet may be of one account, and each deadly one makes those in flight beside it
+/// suspected.
 const MAX_ACCOUNT_ROWS: usize = 1024;
 
-/// So many rows are dropped at once, for to find them takes a look at all.
+/// The number of rows to evict at once, because finding them takes a scan of all rows.
 const EVICTION_BATCH: usize = MAX_ACCOUNT_ROWS / 8;
 
 /// A request whose level has changed.
@@ -57,83 +57,84 @@
     pub after: Level,
 }
 
-/// Who has told of a request.
+/// Where evidence comes from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Origin {
-    /// This node has seen it, or another one of its hall.
+    /// This node or another one of its hall saw it.
     Hall,
-    /// Another hall, or the store: they know already.
+    /// Another hall or the store, which know it already.
     Elsewhere,
 }
 
-/// Who is told of requests.
+/// Whom rows are sent to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Audience {
-    /// A collector, which sums up what single nodes have seen.
+    /// A collector, which adds up what single nodes saw.
     Collector,
-    /// A node, which has to know what it holds back and what is on trial.
+    /// A node, which needs to know what it must quarantine and what needs a trial run.
     Node,
 }
 
-/// A row, and what this node alone knows of it.
+/// A row and what only this node knows of it.
 #[derive(Clone, Debug)]
 struct Entry {
     row: Row,
-    /// The ends that count, as [`Row::count`] says.
+    /// The crashes that count, see [`Row::count_crashes`].
     count: usize,
-    /// When an end was last added.
+    /// When a crash was last added.
     last_crash: Millis,
-    /// The version at which it was last changed.
+    /// The version of the table at the latest change.
     changed_version: u64,
-    /// The same for changes that were seen in this hall; 0 for none.
+    /// The same for changes seen in this hall; 0 for none.
     hall_version: u64,
-    /// When threshold_reached ends of it were known.
+    /// When [`MIN_CRASHES`] were known.
     threshold_reached: Option<Millis>,
-    /// Whether it is held back for good, if nothing else explains its ends.
+    /// Whether [`SETTLE_DELAY`] has passed, so that it is rejected unless another request explains its
+    /// crashes.
     settled: bool,
-    /// The ends that the store holds of it, if it holds any.
+    /// The number of its crashes in the store, if it is stored.
     stored: Option<usize>,
 }
 
-/// The requests that were in flight at an end.
+/// The requests that were in flight at a crash.
 #[derive(Clone, Debug)]
 struct InFlight {
     requests: BTreeSet<Fingerprint>,
-    /// When this node first first_seen of it.
+    /// When this node first learned of the crash.
     first_seen: Millis,
 }
 
-/// All that a node knows of such requests.
+/// What a node knows of suspected requests.
 #[derive(Clone, Debug, Default)]
 pub struct Table {
     entries: HashMap<Fingerprint, Entry>,
-    /// The ends, and which requests were in flight at each.
+    /// The requests that were in flight at each crash.
     in_flight: HashMap<Crash, InFlight>,
-    /// How many rows there are of each account.
+    /// The number of rows of each account.
     counts: HashMap<Option<id::Account>, usize>,
     /// Rises with each change.
     version: u64,
-    /// Requests that were dropped here while the store held them.
+    /// Requests removed here while the store held them.
     dropped: BTreeSet<Fingerprint>,
 }
 
 impl Table {
-    /// The version of the latest change.
+    /// Returns the version of the latest change.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// The rows, in no order.
+    /// Returns the rows, in no order.
     pub fn iter(&self) -> impl Iterator<Item = &Row> {
         self.entries.values().map(|entry| &entry.row)
     }
 
-    /// What is known of a request.
+    /// Returns what is known of a request.
     pub fn get(&self, fingerprint: &Fingerprint) -> Option<&Row> {
         self.entries.get(fingerprint).map(|entry| &entry.row)
     }
 
-    /// How strongly a request is suspected.
+    /// Returns how strongly a request is suspected.
     pub fn level(&self, fingerprint: &Fingerprint) -> Level {
         let Some(entry) = self.entries.get(fingerprint) else { return Level::Clear };
         match self.judge(entry) {
@@ -142,7 +143,7 @@
         }
     }
 
-    /// How strongly a request is suspected if nothing more is first_seen of it.
+    /// Returns the level of an entry without regard to [`SETTLE_DELAY`].
     fn judge(&self, entry: &Entry) -> Level {
         let (row, crashes) = (&entry.row, entry.count);
         if crashes == 0 {
@@ -158,7 +159,7 @@
         }
     }
 
-    /// Whether another request was in flight at all of these ends as well.
+    /// Whether another request was in flight at all of these crashes as well.
     fn has_indistinguishable(&self, row: &Row, crashes: &[&Crash]) -> bool {
         let Some(first) = crashes.first() else { return false };
         let was_in_flight = |other: &Entry| crashes.iter().all(|crash| other.row.crashes.contains(*crash));
@@ -166,14 +167,14 @@
         others.any(|other| other.count > 0 && was_in_flight(other))
     }
 
-    /// The requests that were in flight at an end.
+    /// Returns the requests that were in flight at a crash.
     fn list_in_flight(&self, crash: &Crash) -> impl Iterator<Item = &Entry> {
         let requests = self.in_flight.get(crash).map(|in_flight| &in_flight.requests);
         requests.into_iter().flatten().filter_map(|fingerprint| self.entries.get(fingerprint))
     }
 
-    /// Takes in what was seen or told of a request. Returns the requests whose level that
-    /// has changed: an end that is explained by one counts no more for the others.
+    /// Merges evidence about a request. Returns the requests whose level changed, which may be others,
+    /// because a crash explained by one request no longer counts for the rest.
     pub fn merge(&mut self, row: &Row, origin: Origin, now: Millis) -> Vec<Change> {
         let before = self.list_levels(row);
         if !self.apply(row, origin, now) {
@@ -183,8 +184,9 @@
         self.list_changes(before)
     }
 
-    /// The levels that can change with a row: its crashes, and those of all that were in flight
-    /// at one of its ends, unless it was at one only and so explains none of them.
+    /// Returns the levels that a change of the row can affect: its own, and those of all requests that
+    /// were in flight at one of its crashes. A request with a single crash explains none, so it affects
+    /// only itself.
     fn list_levels(&self, row: &Row) -> Vec<(Fingerprint, Level)> {
         let known = self.get(&row.fingerprint).map(|known| &known.crashes);
         let crashes: BTreeSet<&Crash> = row.crashes.iter().chain(known.into_iter().flatten()).collect();
@@ -205,7 +207,7 @@
         changed.collect()
     }
 
-    /// Returns whether anything was new.
+    /// Merges a row into its entry. Returns whether anything was new.
     fn apply(&mut self, row: &Row, origin: Origin, now: Millis) -> bool {
         if row.crashes.is_empty() {
             return false;
@@ -252,8 +254,8 @@
         true
     }
 
-    /// Holds back for good what has been at threshold_reached ends for [`SETTLE_DELAY`]. Returns the requests
-    /// whose level that has changed.
+    /// Settles the requests that reached [`MIN_CRASHES`] at least [`SETTLE_DELAY`] ago and returns
+    /// those whose level changed.
     pub fn settle(&mut self, now: Millis) -> Vec<Change> {
         let is_due = |entry: &&Entry| {
             entry.threshold_reached.is_some_and(|threshold_reached| now >= threshold_reached + SETTLE_DELAY)
@@ -270,8 +272,8 @@
         self.list_changes(before)
     }
 
-    /// The end of a runner under a request that was sent there at `sent`: it is not one that
-    /// had been first_seen of before.
+    /// Returns the crash of a runner under a request that was sent to it at `sent`. Its number differs
+    /// from that of crashes of the same incarnation that were known before.
     pub fn identify_crash(
         &self,
         runner: &id::Runner,
@@ -286,29 +288,29 @@
         crash
     }
 
-    /// A request has run to its end here: it does not end runners. Only one that is
-    /// suspected is noted.
+    /// Records that a request completed here, so it does not crash runners. Only requests with a row
+    /// are recorded.
     pub fn record_completed(&mut self, fingerprint: &Fingerprint, now: Millis) -> Vec<Change> {
         let Some(row) = self.get(fingerprint).filter(|row| !row.cleared) else { return Vec::new() };
         let cleared = Row { cleared: true, ..row.clone() };
         self.merge(&cleared, Origin::Hall, now)
     }
 
-    /// What speaks against a request counts no more: it may be run again.
+    /// Voids the crashes known of a request, so that it may run again.
     pub fn void_crashes(&mut self, fingerprint: &Fingerprint, now: Millis) -> Vec<Change> {
         let Some(row) = self.get(fingerprint) else { return Vec::new() };
         let voided = Row { void: row.crashes.clone(), ..row.clone() };
         self.merge(&voided, Origin::Hall, now)
     }
 
-    /// What is new after a version for those told, oldest first, `most` at the most, and the
-    /// version up to which that is all.
+    /// Returns at most `limit` rows that changed after a version and matter to the audience, oldest
+    /// change first, and the version up to which they are complete.
     pub fn list_updates(&self, after: u64, audience: Audience, limit: usize) -> (Vec<Row>, u64) {
         let version = |entry: &Entry| match audience {
             Audience::Collector => entry.hall_version,
             Audience::Node => entry.changed_version,
         };
-        // A single end is of use only where ends are added up.
+        // A single crash matters only where crashes are added up.
         let is_relevant = |entry: &&Entry| audience == Audience::Collector || entry.row.crashes.len() > 1;
         let updates = self.entries.values().filter(|entry| version(entry) > after).filter(is_relevant);
         let mut updates: Vec<&Entry> = updates.collect();
@@ -320,35 +322,35 @@
         (updates.into_iter().take(limit).map(|entry| entry.row.clone()).collect(), version)
     }
 
-    /// The store holds this of a request.
+    /// Records that the store holds this row.
     pub fn record_stored(&mut self, row: &Row) {
         if let Some(entry) = self.entries.get_mut(&row.fingerprint) {
             entry.stored = Some(row.crashes.len());
         }
     }
 
-    /// The store holds nothing of a request any more. Returns whether it did.
+    /// Records that the store no longer holds a request. Returns whether it did.
     pub fn record_removed(&mut self, fingerprint: &Fingerprint) -> bool {
         self.dropped.remove(fingerprint);
         self.entries.get_mut(fingerprint).is_some_and(|entry| entry.stored.take().is_some())
     }
 
-    /// The store may hold nothing any more of what it held: it came back from an older copy.
+    /// Forgets what the store held, because it was restored from an older copy.
     pub fn forget_stored(&mut self) {
         for entry in self.entries.values_mut() {
             entry.stored = None;
         }
     }
 
-    /// The requests that the store holds, as far as this node knows.
+    /// Returns the requests that the store holds, as far as this node knows.
     pub fn list_stored(&self) -> Vec<Fingerprint> {
         let stored = self.entries.iter().filter(|(_, entry)| entry.stored.is_some());
         stored.map(|(fingerprint, _)| *fingerprint).collect()
     }
 
-    /// What the store should hold and does not: requests at two ends or more, for what
-    /// single nodes know of the first one is exchanged, and a hall that is cut off from the
-    /// others has one more to add. With when the last end was added.
+    /// Returns the rows that the store should hold and does not, with the time of their last crash.
+    /// Those are requests with two crashes or more: nodes exchange rows with a single one anyway, and a
+    /// hall that is cut off from the others can add one more to two.
     pub fn list_unstored(&self) -> Vec<(&Row, Millis)> {
         let missing = |entry: &&Entry| {
             entry.count > 1 && entry.stored.is_none_or(|stored| stored < entry.row.crashes.len())
@@ -356,14 +358,14 @@
         self.entries.values().filter(missing).map(|entry| (&entry.row, entry.last_crash)).collect()
     }
 
-    /// What the store should not hold any more: requests that count for nothing, or were
-    /// dropped.
+    /// Returns the requests that the store should no longer hold: those without a crash that counts,
+    /// and those removed here.
     pub fn list_obsolete(&self) -> Vec<Fingerprint> {
         let obsolete = self.entries.values().filter(|entry| entry.stored.is_some() && entry.count == 0);
         obsolete.map(|entry| entry.row.fingerprint).chain(self.dropped.iter().copied()).collect()
     }
 
-    /// Forgets what is older than [`SUSPECT_TTL`].
+    /// Removes rows whose last crash is older than [`SUSPECT_TTL`].
     pub fn expire(&mut self, now: Millis) {
         let old = self.entries.iter().filter(|(_, entry)| now >= entry.last_crash + SUSPECT_TTL);
         for fingerprint in old.map(|(fingerprint, _)| *fingerprint).collect::<Vec<_>>() {
@@ -371,8 +373,8 @@
         }
     }
 
-    /// Drops rows beyond the bounds: of the account first, for what it sends must not push
-    /// out what is known of others; then of the account that has most.
+    /// Evicts rows beyond the limits: first those of the account of the latest row, so that an account
+    /// cannot evict what is known of others; then those of the account that has the most.
     fn evict(&mut self, account: Option<&id::Account>) {
         let account = account.cloned();
         if self.counts.get(&account).is_some_and(|count| *count > MAX_ACCOUNT_ROWS) {
@@ -385,7 +387,7 @@
         }
     }
 
-    /// Drops the rows of an account that say least, the oldest first.
+    /// Evicts the rows of an account with the fewest crashes, the oldest first.
     fn evict_weakest(&mut self, account: &Option<id::Account>) {
         let of_account = self.entries.values().filter(|entry| entry.row.account == *account);
         let rank = |entry: &Entry| (entry.count, entry.changed_version, entry.row.fingerprint);
--- a/crates/fleet/src/trials.rs
+++ b/crates/fleet/src/trials.rs
@@ -1,10 +1,10 @@
-//! Runs of requests under suspicion: one at a time of each, apart from each other, and not
-//! while runners are short.
+//! Trial runs of suspected requests: one at a time for each request, isolated from each other, and only
+//! while capacity suffices.
 //!
-//! The load this answers: a runner ends with a dozen requests in flight, one of which has
-//! ended it. All are sent again at once. Were they sent to the same runner, that would end
-//! too, and tell nothing; of the one that ends runners there may be copies at every node;
-//! and where many such requests come, those that end nothing need the runners that are left.
+//! They guard against a crash that fails a dozen requests in flight, only one of which caused it. All
+//! are retried at once. If they were retried on one runner, it would crash too and reveal nothing about
+//! which of them is the cause. Copies of the request may be at every node, and where many such requests
+//! arrive, the harmless ones need the runners that remain.
 
 use std::collections::HashMap;
 
@@ -14,50 +14,51 @@
 use crate::fingerprint::Fingerprint;
 use crate::runner::Epoch;
 
-/// A run of which nothing was heard counts for this long: usual answers take less, and what
-/// ends a runner does so sooner. A caller that leaves tells nothing.
+/// A trial run without a result counts as running for this long. Usual answers take less, and a deadly
+/// request crashes its runner sooner. The timeout is needed because no result arrives when the caller
+/// disconnects.
 pub const TRIAL_TIMEOUT: Millis = Millis(2000);
 
-/// Suspected requests are run while at least this part of the usual groups or runners is
-/// there, in hundredths: with one data hall of three lost they still are. The other requests keep
-/// the groups that are left.
+/// Suspected requests run only while at least this percentage of the usual groups or runners is
+/// available. It still holds when one data hall of three is lost. Below it, the remaining groups are
+/// kept for other requests.
 const MIN_CAPACITY_PERCENT: usize = 60;
 
-/// What is usual is the most seen in a time between one and two of these: longer than the
-/// groups of a lost data hall take to be formed anew.
+/// The usual capacity is the peak over the last one to two windows. A window is longer than it takes to
+/// form the groups of a lost data hall anew.
 const PEAK_WINDOW: Millis = Millis(30_000);
 
-/// What becomes of a request at present.
+/// What to do with a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ruling {
-    /// It is run like any other.
+    /// Run it like any other.
     Run,
-    /// It is run apart from other suspected ones.
+    /// Run it isolated from other suspected requests.
     Trial,
-    /// It is not run now, and may come back.
+    /// Don't run it now; the caller may retry.
     Quarantine,
-    /// It is not run any more.
+    /// Don't run it any more.
     Reject,
 }
 
-/// How many groups or runners can take a request.
+/// The number of groups or runners that can run a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Capacity {
-    /// Now.
+    /// Those available now.
     pub available: usize,
-    /// Usually.
+    /// The usual number.
     pub usual: usize,
 }
 
 impl Capacity {
-    /// Whether there are enough to risk one. Where only the one that ended is missing, what
-    /// was in flight there goes on at the others, also where these are few.
+    /// Whether there is enough capacity to risk losing one. If only the crashed one is missing, the
+    /// requests that were in flight there may run on the others, even if these are few.
     fn is_sufficient(self) -> bool {
         self.available + 1 >= self.usual.max(2) || self.available * 100 >= self.usual * MIN_CAPACITY_PERCENT
     }
 }
 
-/// The most takers of one window, and of the one before.
+/// The peak number of groups or runners in the current window and in the previous one.
 #[derive(Clone, Copy, Debug)]
 struct Peak {
     since: Millis,
@@ -65,12 +66,12 @@
     previous: usize,
 }
 
-/// How many takers there usually are for the requests of each model of each service.
+/// The usual capacity for each model of each service.
 #[derive(Clone, Debug, Default)]
 pub struct Baseline(HashMap<id::Service, HashMap<Option<id::Model>, Peak>>);
 
 impl Baseline {
-    /// So many are there now.
+    /// Records the available capacity and returns it with the usual one.
     pub fn record(
         &mut self,
         service: &id::Service,
@@ -89,20 +90,20 @@
     }
 }
 
-/// A run under way.
+/// A running trial.
 #[derive(Clone, Copy, Debug)]
 struct Trial {
-    /// The group that has it; none where a runner has it alone.
+    /// The group that runs it; none if a single runner does.
     group: Option<Epoch>,
     until: Millis,
 }
 
-/// The runs under way that this node has let begin.
+/// The trial runs that this node has started.
 #[derive(Clone, Debug, Default)]
 pub struct Trials(HashMap<Fingerprint, Trial>);
 
 impl Trials {
-    /// What becomes of a request of this level.
+    /// Decides what to do with a request that is suspected at this level.
     pub fn decide(&self, fingerprint: &Fingerprint, level: Level, capacity: Capacity, now: Millis) -> Ruling {
         match level {
             Level::Clear => Ruling::Run,
@@ -114,18 +115,19 @@
         }
     }
 
-    /// A run of a suspected request begins.
+    /// Records the start of a trial run.
     pub fn start(&mut self, fingerprint: Fingerprint, group: Option<Epoch>, now: Millis) {
         self.0.retain(|_, trial| now < trial.until);
         self.0.insert(fingerprint, Trial { group, until: now + TRIAL_TIMEOUT });
     }
 
-    /// What became of a run is known.
+    /// Records that the result of a trial run is known.
     pub fn finish(&mut self, fingerprint: &Fingerprint) {
         self.0.remove(fingerprint);
     }
 
-    /// A request that was tried at these groups goes on: if its run was there, it is over.
+    /// Finishes the trial run of a request that continues elsewhere, if the run was at one of the
+    /// groups `tried`.
     pub fn finish_at(&mut self, fingerprint: &Fingerprint, tried: &[Epoch]) {
         let group = self.0.get(fingerprint).and_then(|trial| trial.group);
         if group.is_some_and(|group| tried.contains(&group)) {
@@ -133,12 +135,12 @@
         }
     }
 
-    /// Whether a run of a request is undecided.
+    /// Whether a trial run of the request has no result yet.
     fn is_running(&self, fingerprint: &Fingerprint, now: Millis) -> bool {
         self.0.get(fingerprint).is_some_and(|trial| now < trial.until)
     }
 
-    /// The groups that have a run of another request.
+    /// Returns the groups with a trial run of another request.
     pub fn list_trial_groups(&self, fingerprint: &Fingerprint, now: Millis) -> Vec<Epoch> {
         let others = self.0.iter().filter(|(other, trial)| *other != fingerprint && now < trial.until);
         others.filter_map(|(_, trial)| trial.group).collect()
