--- a/crates/fleet/src/roster.rs
+++ b/crates/fleet/src/roster.rs
@@ -111,7 +111,7 @@
 
     /// Whether a runner announced in this incarnation that it is about to leave.
     fn is_leaving(&self, id: &id::Runner, incarnation: Option<Incarnation>) -> bool {
-        self.leaving.get(id).is_some_and(|left_in| !is_later(incarnation, *left_in))
+        self.leaving.get(id).is_some_and(|leaving_in| !is_later(incarnation, *leaving_in))
     }
 
     /// Removes a runner whose entry is invalid, without the grace period after an outage of the store.
--- a/crates/fleet/src/source.rs
+++ b/crates/fleet/src/source.rs
@@ -178,10 +178,9 @@
         if let Some(peer) = readers.or_else(|| self.pick_fallback(me, hall, directory, now)) {
             return Source::Reader(peer.clone());
         }
-        let store_answered_at = self
-            .store_answered_at
-            .is_some_and(|store_answered_at| now < store_answered_at + STORE_REACHED_TTL);
-        if self.store_retry_at.is_none() && self.store_failures == 0 && !store_answered_at {
+        let answered_lately =
+            self.store_answered_at.is_some_and(|answered| now < answered + STORE_REACHED_TTL);
+        if self.store_retry_at.is_none() && self.store_failures == 0 && !answered_lately {
             let remaining = self.overdue_at(false).map_or(Millis(0), |overdue_at| overdue_at.since(now));
             let max_wait = compute_call_interval(directory).min(remaining);
             self.store_retry_at = Some(now + Millis(rng.random_range(0..=max_wait.0)));
@@ -206,7 +205,7 @@
     }
 
     fn can_query(&self, peer: &Peer) -> bool {
-        !self.backoffs.iter().any(|(backoffs, _)| *backoffs == peer.node)
+        !self.backoffs.iter().any(|(node, _)| *node == peer.node)
     }
 
     fn can_call_store(&self, now: Millis) -> bool {
@@ -244,8 +243,8 @@
         match self.store_retry_at.filter(|at| now < *at) {
             None => Source::Store,
             Some(at) => {
-                let asked = self.backoffs.iter().map(|(_, until)| *until).min();
-                Source::Wait(asked.map_or(at, |asked| asked.min(at)).since(now))
+                let next_query = self.backoffs.iter().map(|(_, until)| *until).min();
+                Source::Wait(next_query.map_or(at, |next_query| next_query.min(at)).since(now))
             }
         }
     }
--- a/crates/fleet/src/suspects.rs
+++ b/crates/fleet/src/suspects.rs
@@ -254,12 +254,11 @@
         true
     }
 
-    /// Settles the requests that reached [`MIN_CRASHES`] at least [`SETTLE_DELAY`] ago and returns
+    /// Settles the deadly requests that reached [`MIN_CRASHES`] at least [`SETTLE_DELAY`] ago and returns
     /// those whose level changed.
     pub fn settle(&mut self, now: Millis) -> Vec<Change> {
-        let is_due = |entry: &&Entry| {
-            entry.threshold_reached.is_some_and(|threshold_reached| now >= threshold_reached + SETTLE_DELAY)
-        };
+        let is_due =
+            |entry: &&Entry| entry.threshold_reached.is_some_and(|reached| now >= reached + SETTLE_DELAY);
         let due = self.entries.values().filter(|entry| !entry.settled).filter(is_due);
         let deadly = due.filter(|entry| matches!(self.judge(entry), Level::Deadly(_)));
         let settled: Vec<Fingerprint> = deadly.map(|entry| entry.row.fingerprint).collect();
