--- a/crates/fleet/src/census.rs
+++ b/crates/fleet/src/census.rs
@@ -60,7 +60,7 @@
             open,
             forming: of_model.len() - open - retired,
             retired,
-            holders: free.iter().filter(|runner| find_join_time(runner, model) < model.load).count(),
+            holders: free.iter().filter(|runner| find_join_time(runner, model) < model.load_time).count(),
         }
     });
     let rows = rows.collect();
--- a/crates/fleet/src/form.rs
+++ b/crates/fleet/src/form.rs
@@ -91,7 +91,7 @@
         memory.loads.record_started(
             snapshot.now,
             candidate.loads,
-            models[candidate.model].load,
+            models[candidate.model].load_time,
             snapshot.serving,
             Purpose::Repair,
         );
@@ -108,7 +108,7 @@
             epoch,
             service: snapshot.service.id.clone(),
             model,
-            lives: candidate.members.iter().map(|id| snapshot.roster.get(id)?.life).collect(),
+            lives: candidate.members.iter().map(|id| snapshot.roster.get(id)?.incarnation).collect(),
             members: candidate.members,
             state: State::Active,
             still: false,
@@ -168,14 +168,16 @@
                 members[..=head].rotate_right(1);
             }
             let time = members.iter().map(|runner| find_join_time(runner, model)).max().unwrap_or_default();
-            let loads = members.iter().filter(|runner| find_join_time(runner, model) == model.load).count();
+            let loads =
+                members.iter().filter(|runner| find_join_time(runner, model) == model.load_time).count();
             // A member that loads from the weight store is bound for many seconds. If it stages
             // the model instead, it stays free for the next loss.
             if loads > 0 && snapshot.serving && active[model_at] > 0 {
                 continue;
             }
             let fulfillment = fulfillment(model_at);
-            let holders = free.iter().filter(|runner| find_join_time(runner, model) < model.load).count();
+            let holders =
+                free.iter().filter(|runner| find_join_time(runner, model) < model.load_time).count();
             // Members of small groups serve as the spare runners of the largest model.
             let spares = if model.size == largest { 0 } else { risk.count_spares(model) };
             let has_surplus = loads == 0 && holders >= model.size + spares;
--- a/crates/fleet/src/memory.rs
+++ b/crates/fleet/src/memory.rs
@@ -10,7 +10,7 @@
 use crate::order::{Order, REPEAT_ACKNOWLEDGED_INTERVAL};
 use crate::reserve::Losses;
 use crate::roster::Roster;
-use crate::runner::{Epoch, Life, Runner, is_later};
+use crate::runner::{Epoch, Incarnation, Runner, is_later};
 use crate::snapshot::Snapshot;
 use crate::stall::Stalls;
 
@@ -47,7 +47,7 @@
     /// Orders that the runner acknowledged as done or begun.
     pub(crate) acknowledged: HashSet<(id::Runner, Order)>,
     /// The incarnations of the runners that received the orders above.
-    incarnations: HashMap<id::Runner, Life>,
+    incarnations: HashMap<id::Runner, Incarnation>,
     /// The last order to stage a model, by runner.
     staging_orders: HashMap<id::Runner, Staging>,
     /// Groups with a member that refused to join in a way that no retry can change.
@@ -96,7 +96,7 @@
     pub fn record_acknowledged(
         &mut self,
         runner: &id::Runner,
-        incarnation: Option<Life>,
+        incarnation: Option<Incarnation>,
         order: &Order,
         now: Millis,
     ) {
@@ -113,7 +113,7 @@
     /// Drops what was sent to former incarnations of runners.
     fn forget_old_incarnations(&mut self, roster: &Roster) {
         for runner in roster.iter() {
-            let Some(life) = runner.life else { continue };
+            let Some(life) = runner.incarnation else { continue };
             let previous = self.incarnations.insert(runner.id.clone(), life);
             if is_later(Some(life), previous) {
                 let is_other = |(id, _): &(id::Runner, Order)| *id != runner.id;
@@ -140,11 +140,11 @@
         serving: bool,
         purpose: Purpose,
     ) {
-        let timeout = Millis(model.load.0 * STAGING_TIMEOUT_FACTOR);
+        let timeout = Millis(model.load_time.0 * STAGING_TIMEOUT_FACTOR);
         let staging =
             Staging { model: model.name.clone(), until: now + timeout, staged_before: runner.staged.clone() };
         self.staging_orders.insert(runner.id.clone(), staging);
-        self.loads.record_started(now, 1, model.load, serving, purpose);
+        self.loads.record_started(now, 1, model.load_time, serving, purpose);
     }
 
     /// Returns the model that a runner was last ordered to stage, if it holds it or may still be
@@ -160,7 +160,7 @@
         self.forget_old_incarnations(snapshot.roster);
         self.rejecting.extend(snapshot.rejecting.iter().map(|runner| (runner.clone(), snapshot.now)));
         self.rejecting.retain(|_, last| snapshot.now < *last + REJECTING_TTL);
-        let is_known = |runner: &id::Runner| snapshot.roster.recall(runner).is_some();
+        let is_known = |runner: &id::Runner| snapshot.roster.get_last_known(runner).is_some();
         let groups = snapshot.plans.values().flat_map(|plan| &plan.groups);
         let names: HashSet<(&id::Group, Epoch)> = groups.map(|group| (&group.name, group.epoch)).collect();
         let is_planned = |group: &id::Group, epoch: Epoch| names.contains(&(group, epoch));
--- a/crates/fleet/src/orders.rs
+++ b/crates/fleet/src/orders.rs
@@ -71,7 +71,7 @@
         let finished = group.state == State::Lost || issuer.has_waited(head, &close, UNSEEN_HEAD_GRACE);
         return issuer.issue(head, if finished { leave } else { close });
     }
-    let forgotten = group.members.iter().all(|id| snapshot.roster.recall(id).is_none());
+    let forgotten = group.members.iter().all(|id| snapshot.roster.get_last_known(id).is_none());
     if forgotten {
         issuer.memory.stalled_since.entry((group.name.clone(), group.epoch)).or_insert(issuer.now);
     }
--- a/crates/fleet/src/plan.rs
+++ b/crates/fleet/src/plan.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-use crate::runner::{Epoch, Life};
+use crate::runner::{Epoch, Incarnation};
 
 /// A planned group.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -31,7 +31,7 @@
     /// has restarted is in no group, though its id is the same. Plans of nodes that knew no
     /// incarnations have none.
     #[serde(default)]
-    pub lives: Vec<Option<Life>>,
+    pub lives: Vec<Option<Incarnation>>,
 }
 
 /// The desired state of a group.
@@ -53,7 +53,7 @@
     }
 
     /// Returns the incarnation with which a member was planned, if it was known.
-    pub fn find_incarnation(&self, member: &id::Runner) -> Option<Life> {
+    pub fn find_incarnation(&self, member: &id::Runner) -> Option<Incarnation> {
         let rank = self.members.iter().position(|id| id == member)?;
         *self.lives.get(rank)?
     }
--- a/crates/fleet/src/preempt.rs
+++ b/crates/fleet/src/preempt.rs
@@ -48,8 +48,11 @@
 /// Closes groups of the `donors` in a domain that lacks few runners for a group of `large`, if
 /// their members complete it. Returns whether any was closed.
 fn close_victims(snapshot: &Snapshot, draft: &mut Draft, large: &Model, donors: &[&Model]) -> bool {
-    let free =
-        draft.list_free().into_iter().filter(|runner| find_join_time(runner, large) < large.load).count();
+    let free = draft
+        .list_free()
+        .into_iter()
+        .filter(|runner| find_join_time(runner, large) < large.load_time)
+        .count();
     let retired = draft.plan.groups.iter().filter(|group| group.is_retired());
     let returning: usize = retired.map(|group| count_holders(snapshot, group, large)).sum();
     // Most of the large group must be available, because the closed groups are serving requests.
@@ -58,7 +61,8 @@
     }
     // Members of released groups have been ordered to leave and are free soon. If they complete
     // the large group, nothing is closed; if not, they do not affect the choice of groups.
-    let released = draft.list_released().filter(|runner| find_join_time(runner, large) < large.load).count();
+    let released =
+        draft.list_released().filter(|runner| find_join_time(runner, large) < large.load_time).count();
     if free + returning + released >= large.size {
         return false;
     }
@@ -105,7 +109,8 @@
 
 /// Returns the number of members of a group that can join one of `model` without a load.
 fn count_holders(snapshot: &Snapshot, group: &Group, model: &Model) -> usize {
-    let holds =
-        |id: &&id::Runner| snapshot.find(id).is_some_and(|runner| find_join_time(runner, model) < model.load);
+    let holds = |id: &&id::Runner| {
+        snapshot.find(id).is_some_and(|runner| find_join_time(runner, model) < model.load_time)
+    };
     group.members.iter().filter(holds).count()
 }
--- a/crates/fleet/src/probe.rs
+++ b/crates/fleet/src/probe.rs
@@ -4,7 +4,7 @@
 
 use cottoncrank::id;
 
-use crate::runner::{Life, is_later};
+use crate::runner::{Incarnation, is_later};
 
 /// The number of consecutive probes without an answer after which a runner counts as silent, and
 /// the number of probes that a conclusion needs.
@@ -40,7 +40,7 @@
     /// The result of the last probe of the round.
     pub reported: Observation,
     /// The incarnation that answered, if the runner reported it.
-    pub incarnation: Option<Life>,
+    pub incarnation: Option<Incarnation>,
     /// The number of probes in the round.
     pub asked: u32,
 }
@@ -68,7 +68,7 @@
     /// Whether another runner has answered at its address.
     gone: bool,
     /// The incarnation that answered last.
-    incarnation: Option<Life>,
+    incarnation: Option<Incarnation>,
 }
 
 /// The results of all rounds of probes so far.
--- a/crates/fleet/src/reserve.rs
+++ b/crates/fleet/src/reserve.rs
@@ -66,7 +66,7 @@
     /// Returns the risk for `runners` runners in `domains` domains.
     pub fn assess(losses: &Losses, engine: &Engine, runners: usize, domains: usize) -> Risk {
         let rate = losses.rate();
-        let load = engine.models.iter().map(|model| model.share * to_seconds(model.load)).sum::<f64>();
+        let load = engine.models.iter().map(|model| model.share * to_seconds(model.load_time)).sum::<f64>();
         let repair_utilization = rate * runners as f64 * load / engine.loads_at_once.max(1) as f64;
         Risk { rate, runners_per_domain: runners as f64 / domains.max(1) as f64, repair_utilization }
     }
@@ -75,10 +75,11 @@
     /// `held` exist already: without it the remaining members of a group wait for a load. Above
     /// one, the runner is worth more as a spare than in service.
     pub fn count_spared_runners(&self, model: &Model, held: usize) -> f64 {
-        let load_time = to_seconds(model.load) / (1.0 - self.repair_utilization.min(MAX_QUEUE_UTILIZATION));
+        let load_time =
+            to_seconds(model.load_time) / (1.0 - self.repair_utilization.min(MAX_QUEUE_UTILIZATION));
         let losses = self.rate * self.runners_per_domain * model.share;
         let idle = model.size.saturating_sub(1) as f64 * load_time;
-        losses * idle * find_tail_probability(losses * to_seconds(model.load), held)
+        losses * idle * find_tail_probability(losses * to_seconds(model.load_time), held)
     }
 
     /// Returns how many loads at full speed are left for the next losses while members that serve
--- a/crates/fleet/src/roster.rs
+++ b/crates/fleet/src/roster.rs
@@ -1,21 +1,20 @@
-//! The runners a node believes in, and the groups they stand in.
+//! The runners known to a node, and the heads among them that take requests.
 
 use std::collections::{BTreeSet, HashMap, HashSet};
 
 use cottoncrank::{Millis, id};
 
 use crate::plan::{Group, Plans};
-use crate::runner::{Life, Phase, Release, Runner, is_later};
+use crate::runner::{Incarnation, Phase, Release, Runner, is_later};
 use crate::said::Leaving;
 
-/// Runners whose entry lapsed while the store was away are given this long
-/// after its return to write themselves in again. The platform names about two
-/// seconds.
-pub const RETURN: Millis = Millis(2300);
+/// The time given to runners whose entry lapsed while the store was away to write it again after the
+/// store recovered. The platform specifies about two seconds.
+pub const RETURN_GRACE: Millis = Millis(2300);
 
-/// A runner whose entry is gone is remembered for this long: as long as one may
-/// be cut off from the store and still run requests.
-pub const REMEMBERED: Millis = Millis(60_000);
+/// How long a runner without an entry is remembered: as long as one may be cut off from the store and
+/// still run requests.
+pub const DEPARTED_TTL: Millis = Millis(60_000);
 
 #[derive(Clone, Debug)]
 struct Entry {
@@ -24,27 +23,27 @@
     missing: Option<Millis>,
 }
 
-/// What an entry told of a runner's life.
+/// What a new entry says about a runner's incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Notice {
-    /// It is the life that was known, or lives are not told.
-    Known,
-    /// The runner has started again under its id.
+pub enum Update {
+    /// It is of the known incarnation, or incarnations are not reported.
+    Current,
+    /// The runner restarted under its id.
     Restarted,
-    /// The entry is of a former life, or of an earlier moment of this one.
+    /// It is of an earlier incarnation, or of an earlier time of this one.
     Outdated,
 }
 
-/// All runners, by id.
+/// All runners by id.
 #[derive(Clone, Debug, Default)]
 pub struct Roster {
     entries: HashMap<id::Runner, Entry>,
-    /// Runners whose entry is gone, and since when. They may still be there.
+    /// Runners whose entry is gone, and since when. They may still run.
     departed: HashMap<id::Runner, (Runner, Millis)>,
-    /// Runners that have said in an answer that they are about to leave, and in which life.
-    leaving: HashMap<id::Runner, Option<Life>>,
+    /// Runners that announced in an answer that they are about to leave, and in which incarnation.
+    leaving: HashMap<id::Runner, Option<Incarnation>>,
     /// Until when a missing entry may still come back.
-    grace: Millis,
+    grace_until: Millis,
 }
 
 fn is_open(head: &Runner, group: &Group) -> bool {
@@ -54,83 +53,83 @@
 }
 
 impl Roster {
-    /// A runner has written its entry. What it served before in the same life is kept. An
-    /// entry of a former life, which may come late, is passed over.
-    pub fn put(&mut self, mut runner: Runner) -> Notice {
-        let known = self.recall(&runner.id);
-        let before = known.and_then(|known| known.life);
-        if is_later(before, runner.life) || known.is_some_and(|known| runner.is_before(known)) {
-            return Notice::Outdated;
+    /// Inserts a runner as its entry describes it. Keeps the model that it served last in the same
+    /// incarnation. Ignores a late entry of an earlier incarnation.
+    pub fn insert(&mut self, mut runner: Runner) -> Update {
+        let known = self.get_last_known(&runner.id);
+        let previous = known.and_then(|known| known.incarnation);
+        if is_later(previous, runner.incarnation) || known.is_some_and(|known| runner.is_older_than(known)) {
+            return Update::Outdated;
         }
-        let notice = if is_later(runner.life, before) { Notice::Restarted } else { Notice::Known };
-        let served = known.filter(|_| notice == Notice::Known).and_then(|known| known.served.clone());
+        let update = if is_later(runner.incarnation, previous) { Update::Restarted } else { Update::Current };
+        let served = known.filter(|_| update == Update::Current).and_then(|known| known.served.clone());
         runner.served = runner.models.first().cloned().or(served);
-        runner.life = runner.life.or(before);
-        // Entries lag behind answers, and stand still while the store is away.
-        runner.draining |= self.is_leaving(&runner.id, runner.life);
+        runner.incarnation = runner.incarnation.or(previous);
+        // Entries lag behind answers, and don't change while the store is away.
+        runner.draining |= self.is_leaving(&runner.id, runner.incarnation);
         self.departed.remove(&runner.id);
         self.entries.insert(runner.id.clone(), Entry { runner, missing: None });
-        notice
+        update
     }
 
-    /// A runner has said in which life it is. Returns whether that is a later one than was
-    /// known: its entry then still tells of the former one, and nothing of that holds.
-    pub fn note_life(&mut self, id: &id::Runner, life: Life) -> bool {
+    /// Records the incarnation that a runner reported. Returns whether it is later than the known one:
+    /// the entry then still describes the earlier one, so its state is reset.
+    pub fn record_incarnation(&mut self, id: &id::Runner, incarnation: Incarnation) -> bool {
         let entry = self.entries.get_mut(id).map(|entry| &mut entry.runner);
         let known = entry.or_else(|| self.departed.get_mut(id).map(|(runner, _)| runner));
         let Some(runner) = known else { return false };
-        if runner.life.is_none() {
-            runner.life = Some(life);
+        if runner.incarnation.is_none() {
+            runner.incarnation = Some(incarnation);
         }
-        let later = is_later(Some(life), runner.life);
+        let later = is_later(Some(incarnation), runner.incarnation);
         if later {
-            runner.restart(life);
+            runner.restart(incarnation);
         }
         later
     }
 
-    /// A runner has said in an answer, given in this life as far as that is told, that it is
-    /// about to leave: from now on it is, whatever its entry says. Returns whether that is new.
-    pub fn note_leaving(&mut self, id: &id::Runner, life: Option<Life>) -> bool {
-        let Some(known) = self.recall(id) else { return false };
-        if is_later(known.life, life) || self.is_leaving(id, known.life) {
+    /// Records that a runner announced in an answer, of this incarnation if known, that it is about to
+    /// leave. It counts as draining from now on, whatever its entry says. Returns whether that is new.
+    pub fn record_leaving(&mut self, id: &id::Runner, incarnation: Option<Incarnation>) -> bool {
+        let Some(known) = self.get_last_known(id) else { return false };
+        if is_later(known.incarnation, incarnation) || self.is_leaving(id, known.incarnation) {
             return false;
         }
         let new = !known.draining;
-        self.leaving.insert(id.clone(), life.or(known.life));
+        self.leaving.insert(id.clone(), incarnation.or(known.incarnation));
         if let Some(entry) = self.entries.get_mut(id) {
             entry.runner.draining = true;
         }
         new
     }
 
-    /// The runners that have said in an answer that they are about to leave.
+    /// Returns the runners that announced in an answer that they are about to leave.
     pub fn list_leaving(&self) -> Vec<Leaving> {
         let leaving = self.leaving.iter();
-        leaving.map(|(id, life)| Leaving { runner: id.clone(), life: *life }).collect()
+        leaving.map(|(id, incarnation)| Leaving { runner: id.clone(), life: *incarnation }).collect()
     }
 
-    /// Whether a runner has said in this life that it is about to leave.
-    fn is_leaving(&self, id: &id::Runner, life: Option<Life>) -> bool {
-        self.leaving.get(id).is_some_and(|told| !is_later(life, *told))
+    /// Whether a runner announced in this incarnation that it is about to leave.
+    fn is_leaving(&self, id: &id::Runner, incarnation: Option<Incarnation>) -> bool {
+        self.leaving.get(id).is_some_and(|leaving_in| !is_later(incarnation, *leaving_in))
     }
 
-    /// A runner's entry cannot be read: it names no runner to use, from now on, whether or
-    /// not the store was away. Requests that run there are not touched.
+    /// Removes a runner whose entry is invalid, without the grace period after an outage of the store.
+    /// Requests that run there continue.
     pub fn discard(&mut self, id: &id::Runner, now: Millis) {
-        self.depart(id, now);
+        self.mark_departed(id, now);
     }
 
-    /// A runner's entry is gone.
+    /// Removes a runner whose entry is gone, or marks it as missing during the grace period.
     pub fn remove(&mut self, id: &id::Runner, now: Millis) {
-        if now >= self.grace {
-            self.depart(id, now);
+        if now >= self.grace_until {
+            self.mark_departed(id, now);
         } else if let Some(entry) = self.entries.get_mut(id) {
             entry.missing.get_or_insert(now);
         }
     }
 
-    /// All entries as read at once; those that are not among them are gone.
+    /// Replaces all entries by a full read; runners that are not in it are removed.
     pub fn replace(&mut self, runners: Vec<Runner>, now: Millis) {
         let kept: HashSet<&id::Runner> = runners.iter().map(|runner| &runner.id).collect();
         let gone: Vec<id::Runner> = self.entries.keys().filter(|id| !kept.contains(id)).cloned().collect();
@@ -138,53 +137,53 @@
             self.remove(&id, now);
         }
         for runner in runners {
-            self.put(runner);
+            self.insert(runner);
         }
     }
 
-    /// The store answers again after it did not: missing entries may come back.
-    pub fn regain(&mut self, now: Millis) {
-        self.grace = now + RETURN;
+    /// Starts the grace period for missing entries, after the store recovered.
+    pub fn start_grace_period(&mut self, now: Millis) {
+        self.grace_until = now + RETURN_GRACE;
     }
 
-    /// Takes those runners as gone whose time to come back is over. Returns them.
+    /// Removes the runners still missing after the grace period and returns them.
     pub fn expire(&mut self, now: Millis) -> Vec<id::Runner> {
-        if now < self.grace {
+        if now < self.grace_until {
             return Vec::new();
         }
         let missing = self.entries.iter().filter(|(_, entry)| entry.missing.is_some());
         let gone: Vec<id::Runner> = missing.map(|(id, _)| id.clone()).collect();
         for id in &gone {
-            self.depart(id, now);
+            self.mark_departed(id, now);
         }
         gone
     }
 
-    fn depart(&mut self, id: &id::Runner, now: Millis) {
-        self.departed.retain(|_, (_, since)| now < *since + REMEMBERED);
+    fn mark_departed(&mut self, id: &id::Runner, now: Millis) {
+        self.departed.retain(|_, (_, since)| now < *since + DEPARTED_TTL);
         if let Some(entry) = self.entries.remove(id) {
             self.departed.insert(id.clone(), (entry.runner, now));
         }
         self.leaving.retain(|id, _| self.entries.contains_key(id) || self.departed.contains_key(id));
     }
 
-    /// A runner as it last described itself, its entry may be gone.
-    pub fn recall(&self, id: &id::Runner) -> Option<&Runner> {
+    /// Returns a runner as it last described itself, even if its entry is gone.
+    pub fn get_last_known(&self, id: &id::Runner) -> Option<&Runner> {
         self.get(id).or_else(|| self.departed.get(id).map(|(runner, _)| runner))
     }
 
-    /// A runner.
+    /// Returns a runner that has an entry.
     pub fn get(&self, id: &id::Runner) -> Option<&Runner> {
         self.entries.get(id).map(|entry| &entry.runner)
     }
 
-    /// All runners, in no order.
+    /// Returns all runners, in no order.
     pub fn iter(&self) -> impl Iterator<Item = &Runner> {
         self.entries.values().map(|entry| &entry.runner)
     }
 
-    /// The heads that take requests for `model`: those of groups that stand in
-    /// the plans and are not given up. The decider looks after the other members.
+    /// Returns the heads that take requests for `model`: those of groups that are planned and not
+    /// retired. The decider checks the other members.
     pub fn list_heads(&self, service: &id::Service, model: &id::Model, plans: &Plans) -> Vec<&Runner> {
         let groups = plans.values().flat_map(|plan| &plan.groups);
         let wanted =
@@ -195,13 +194,13 @@
             .collect()
     }
 
-    /// The releases of the runners of a service, as far as they are told.
+    /// Returns the known releases of the runners of a service.
     pub fn list_releases(&self, service: &id::Service) -> BTreeSet<Release> {
         let runners = self.iter().filter(|runner| runner.service == *service);
         runners.filter_map(|runner| runner.release.clone()).collect()
     }
 
-    /// The runners of a plain service that may be sent requests.
+    /// Returns the runners of a plain service that may be sent requests.
     pub fn list_plain<'a>(&'a self, service: &id::Service) -> Vec<&'a Runner> {
         self.iter().filter(|runner| runner.service == *service && !runner.draining).collect()
     }
--- a/crates/fleet/src/settings.rs
+++ b/crates/fleet/src/settings.rs
@@ -4,7 +4,7 @@
 
 use cottoncrank::{Millis, id};
 
-use crate::directory::Processor;
+use crate::directory::Millicores;
 
 /// The settings of a node.
 #[derive(Clone, Debug, PartialEq)]
@@ -22,7 +22,7 @@
     /// The address of the store.
     pub store: SocketAddr,
     /// The processor time that the node may use.
-    pub processor: Processor,
+    pub processor: Millicores,
     /// Whether the whole system starts for the first time.
     pub first_start: bool,
     /// The shortest lease that the store grants.
--- a/crates/fleet/src/snapshot.rs
+++ b/crates/fleet/src/snapshot.rs
@@ -49,7 +49,7 @@
     /// Whether a member of a group has restarted since the group was planned.
     pub(crate) fn has_restarted(&self, group: &Group, member: &id::Runner) -> bool {
         let planned = group.find_incarnation(member);
-        self.roster.recall(member).is_some_and(|runner| is_later(runner.life, planned))
+        self.roster.get_last_known(member).is_some_and(|runner| is_later(runner.incarnation, planned))
     }
 
     /// Returns a runner that has an entry and is not silent.
@@ -119,9 +119,9 @@
     if runner.has_served(&model.name) {
         Millis(0)
     } else if runner.staged.contains(&model.name) {
-        model.warm
+        model.warm_load_time
     } else {
-        model.load
+        model.load_time
     }
 }
 
--- a/crates/fleet/src/staging.rs
+++ b/crates/fleet/src/staging.rs
@@ -92,7 +92,7 @@
     let members = list_members(snapshot, draft).into_iter();
     let others = members.filter(|runner| runner.served.is_some() && !runner.has_served(&largest.name));
     for runner in others.take(wanted) {
-        let holds = find_join_time(runner, largest) < largest.load;
+        let holds = find_join_time(runner, largest) < largest.load_time;
         if holds || issuer.last_staged(runner) == Some(&largest.name) {
             continue;
         }
@@ -248,11 +248,11 @@
     fn count(snapshot: &Snapshot<'a>, models: &[Model], draft: &Draft<'a>, issuer: &Issuer) -> Stock<'a> {
         let rows = draft.list_free().into_iter().map(|runner| {
             let ordered_model = models.iter().find(|model| issuer.last_staged(runner) == Some(&model.name));
-            let staging = ordered_model.is_some_and(|model| find_join_time(runner, model) >= model.load);
+            let staging = ordered_model.is_some_and(|model| find_join_time(runner, model) >= model.load_time);
             // The ordered model replaces the one on the host.
             let holds = |model: &&Model| match ordered_model {
                 Some(ordered_model) => model.name == ordered_model.name || runner.has_served(&model.name),
-                None => find_join_time(runner, model) < model.load,
+                None => find_join_time(runner, model) < model.load_time,
             };
             let held = models.iter().filter(holds).map(|model| model.name.clone()).collect();
             Row { runner, held, staging }
