--- a/crates/fleet/benches/pressure.rs
+++ b/crates/fleet/benches/pressure.rs
@@ -11,11 +11,11 @@
 use std::path::Path;
 
 use cottoncrank::Millis;
-use cottoncrank_fleet::apportion::Want;
+use cottoncrank_fleet::allocation::Demand;
+use cottoncrank_fleet::feedback::Digest;
 use cottoncrank_fleet::rate::Rate;
 use cottoncrank_fleet::runner::Life;
-use cottoncrank_fleet::said::News;
-use cottoncrank_fleet::throttle::Told;
+use cottoncrank_fleet::throttle::Message;
 use plotters::prelude::*;
 use pressure::{END, NAMED, Scene, TROUBLE, TROUBLES, Trouble, WAYS, Way, least, play, worst};
 
@@ -61,15 +61,21 @@
 /// What claims and wants add to a report of a hall, and a claim to that of a node.
 fn print_bytes() -> Result<(), Box<dyn Error>> {
     let name = |number: usize| format!("i-{number:010x}").parse();
-    let claim = |number| -> Result<Told, Box<dyn Error>> {
+    let claim = |number| -> Result<Message, Box<dyn Error>> {
         let life = Some(Life(1_770_000_000_000 + number as u64));
         let (asked, heard) = (Millis(900), Millis(600));
-        Ok(Told { runner: name(number)?, life, rate: Some(Rate(1600)), asked, heard })
+        Ok(Message {
+            runner: name(number)?,
+            incarnation: life,
+            rate: Some(Rate(1600)),
+            sent: asked,
+            received: heard,
+        })
     };
-    let claims = (0..LIMITED).map(claim).collect::<Result<Vec<Told>, _>>()?;
-    let want = |number| Ok::<Want, Box<dyn Error>>(Want { runner: name(number)?, rate: Rate(5300) });
-    let wants = (0..LIMITED).map(want).collect::<Result<Vec<Want>, _>>()?;
-    let news = News { claims, ..News::default() };
+    let claims = (0..LIMITED).map(claim).collect::<Result<Vec<Message>, _>>()?;
+    let want = |number| Ok::<Demand, Box<dyn Error>>(Demand { runner: name(number)?, rate: Rate(5300) });
+    let wants = (0..LIMITED).map(want).collect::<Result<Vec<Demand>, _>>()?;
+    let news = Digest { rate_limits: claims, ..Digest::default() };
     let (news, wants) = (rmp_serde::to_vec(&news)?.len(), rmp_serde::to_vec(&wants)?.len());
     println!("bytes for {LIMITED} runners: claims {news}, wants {wants}");
     Ok(())
--- a/crates/fleet/src/backoff.rs
+++ b/crates/fleet/src/backoff.rs
@@ -14,8 +14,8 @@
 /// What a runner asked for.
 #[derive(Clone, Copy, Debug)]
 struct Backoff {
-    /// In which life, where that is told.
-    life: Option<Life>,
+    /// In which incarnation, where that is told.
+    incarnation: Option<Life>,
     until: Millis,
 }
 
@@ -24,27 +24,27 @@
 pub struct Table(HashMap<id::Runner, Backoff>);
 
 impl Table {
-    /// A runner, in this life as far as that is told, wants no requests for `span`.
+    /// A runner, in this incarnation as far as that is told, wants no requests for `span`.
     ///
     /// The latest end holds: answers overtake each other, and a runner that has asked for more
-    /// has not taken that back by asking for less. A later life owes nothing to a former one.
+    /// has not taken that back by asking for less. A latest incarnation owes nothing to a former one.
     /// Returns whether this was no backoff before.
-    pub fn put(&mut self, id: &id::Runner, life: Option<Life>, span: Millis, now: Millis) -> bool {
+    pub fn insert(&mut self, id: &id::Runner, incarnation: Option<Life>, span: Millis, now: Millis) -> bool {
         self.0.retain(|_, backoff| now < backoff.until);
         let until = now + span;
-        let known = self.0.get(id).copied().filter(|known| !is_later(life, known.life));
-        if known.is_some_and(|known| is_later(known.life, life)) {
+        let known = self.0.get(id).copied().filter(|known| !is_later(incarnation, known.incarnation));
+        if known.is_some_and(|known| is_later(known.incarnation, incarnation)) {
             return false;
         }
-        let later = known.map_or(until, |known| known.until.max(until));
-        self.0.insert(id.clone(), Backoff { life, until: later });
+        let latest = known.map_or(until, |known| known.until.max(until));
+        self.0.insert(id.clone(), Backoff { incarnation, until: latest });
         known.is_none()
     }
 
-    /// Until when a runner wants none, if it does; `life` is the one it is known to be in.
-    pub fn find(&self, id: &id::Runner, life: Option<Life>, now: Millis) -> Option<Millis> {
+    /// Until when a runner wants none, if it does; `incarnation` is the one it is known to be in.
+    pub fn find_end(&self, id: &id::Runner, incarnation: Option<Life>, now: Millis) -> Option<Millis> {
         let backoff = self.0.get(id).filter(|backoff| now < backoff.until)?;
-        (!is_later(life, backoff.life)).then_some(backoff.until)
+        (!is_later(incarnation, backoff.incarnation)).then_some(backoff.until)
     }
 
     /// Whether no runner wants this.
--- a/crates/fleet/src/event.rs
+++ b/crates/fleet/src/event.rs
@@ -5,13 +5,13 @@
 
 /// The largest event that is held until its end, in bytes. Far above what
 /// engines send; it bounds memory against a server that never ends an event.
-pub const EVENT_MAX: usize = 256 * 1024;
+pub const MAX_EVENT_BYTES: usize = 256 * 1024;
 
 /// Why a stream cannot be passed on any further.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum EventError {
-    /// An event is larger than [`EVENT_MAX`].
-    #[error("an event is larger than {EVENT_MAX} bytes")]
+    /// An event is larger than [`MAX_EVENT_BYTES`].
+    #[error("an event is larger than {MAX_EVENT_BYTES} bytes")]
     TooLarge,
     /// Events are missing before this one.
     #[error("event {found} follows event {last}")]
@@ -26,50 +26,50 @@
 /// Takes pieces of a stream as they come and gives whole, new events back.
 #[derive(Debug, Default)]
 pub struct Splitter {
-    rest: BytesMut,
-    last: Option<u64>,
+    pending: BytesMut,
+    last_id: Option<u64>,
 }
 
 impl Splitter {
     /// A splitter for a stream that goes on after event `last`.
-    pub fn after(last: Option<u64>) -> Splitter {
-        Splitter { rest: BytesMut::new(), last }
+    pub fn resume_after(last: Option<u64>) -> Splitter {
+        Splitter { pending: BytesMut::new(), last_id: last }
     }
 
     /// The id of the last event given back.
-    pub fn last(&self) -> Option<u64> {
-        self.last
+    pub fn last_id(&self) -> Option<u64> {
+        self.last_id
     }
 
     /// Whether the bytes so far end with a whole event.
     pub fn is_at_boundary(&self) -> bool {
-        self.rest.is_empty()
+        self.pending.is_empty()
     }
 
     /// Adds a piece. Returns the whole events in it that were not given back
     /// before, as they came.
     pub fn push(&mut self, piece: &[u8]) -> Result<Bytes, EventError> {
-        self.rest.extend_from_slice(piece);
-        let mut fresh = BytesMut::new();
-        while let Some(end) = find_end(&self.rest) {
-            let event = self.rest.split_to(end);
+        self.pending.extend_from_slice(piece);
+        let mut new_events = BytesMut::new();
+        while let Some(end) = find_end(&self.pending) {
+            let event = self.pending.split_to(end);
             if self.is_new(&event)? {
-                fresh.extend_from_slice(&event);
+                new_events.extend_from_slice(&event);
             }
         }
-        match self.rest.len() > EVENT_MAX {
+        match self.pending.len() > MAX_EVENT_BYTES {
             true => Err(EventError::TooLarge),
-            false => Ok(fresh.freeze()),
+            false => Ok(new_events.freeze()),
         }
     }
 
     fn is_new(&mut self, event: &[u8]) -> Result<bool, EventError> {
         let Some(found) = find_id(event) else { return Ok(true) };
-        match self.last {
+        match self.last_id {
             Some(last) if found <= last => Ok(false),
             Some(last) if found > last + 1 => Err(EventError::Gap { last, found }),
             _ => {
-                self.last = Some(found);
+                self.last_id = Some(found);
                 Ok(true)
             }
         }
@@ -79,15 +79,15 @@
 /// Where the first event ends, its blank line included.
 fn find_end(bytes: &[u8]) -> Option<usize> {
     let mut line_start = 0;
-    for (at, byte) in bytes.iter().enumerate() {
+    for (position, byte) in bytes.iter().enumerate() {
         if *byte != b'\n' {
             continue;
         }
-        let line = &bytes[line_start..at];
+        let line = &bytes[line_start..position];
         if line.is_empty() || line == b"\r" {
-            return Some(at + 1);
+            return Some(position + 1);
         }
-        line_start = at + 1;
+        line_start = position + 1;
     }
     None
 }
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -13,16 +13,16 @@
 //!   question each, and [`decide`] calls them; [`adopt`] finds groups whose plan was lost. [`census`] is what the log says of it.
 //! - Choices for requests: [`dispatch`] and [`balance`] pick the runner, [`limit`] admits,
 //!   [`retries`] shares how many requests are sent again, [`event`] splits a stream into the events that can be resumed after.
-//! - What runners say of themselves in answers ([`said`]): for how long they want nothing from a node
+//! - What runners say of themselves in answers ([`feedback`]): for how long they want nothing from a node
 //!   ([`backoff`]), and how many requests a second ([`rate`]) they take from all nodes together
-//!   ([`throttle`]), which [`apportion`] shares among the halls. [`refusals`] keeps which turn
+//!   ([`throttle`]), which [`allocation`] shares among the halls. [`rejections`] keeps which turn
 //!   requests away without a word.
 //! - Requests that end runners: [`fingerprint`] and [`evidence`] of one, [`breaks`] that are undecided,
 //!   [`suspects`] (what all nodes know), [`gossip`] (how they tell it), [`trials`] (what is run).
 //! - [`source`] says whom a node asks for what the store holds.
 
 pub mod adopt;
-pub mod apportion;
+pub mod allocation;
 pub mod backoff;
 pub mod balance;
 pub mod breaks;
@@ -35,6 +35,7 @@
 pub mod dispatch;
 pub mod event;
 pub mod evidence;
+pub mod feedback;
 pub mod fingerprint;
 pub mod form;
 pub mod freshness;
@@ -54,12 +55,11 @@
 pub mod presence;
 pub mod probe;
 pub mod rate;
-pub mod refusals;
+pub mod rejections;
 pub mod reserve;
 pub mod retries;
 pub mod roster;
 pub mod runner;
-pub mod said;
 pub mod scene;
 pub mod settings;
 mod share;
--- a/crates/fleet/src/limit.rs
+++ b/crates/fleet/src/limit.rs
@@ -9,36 +9,36 @@
 
 /// The limit of a node that has seen nothing yet: far above what one node takes
 /// in a calm second.
-const START: f64 = 48.0;
+const INITIAL_LIMIT: f64 = 48.0;
 
 /// The limit never falls below this: some requests have to go on to show when
 /// there is room again.
-const LEAST: f64 = 3.0;
+const MIN_LIMIT: f64 = 3.0;
 
 /// What is left of the limit when first events come late.
-const FALL: f64 = 0.85;
+const DECREASE_FACTOR: f64 = 0.85;
 
 /// The limit falls at most once in this time: what was sent before the last fall
 /// is late for the same reason.
-const FALL_PAUSE: Millis = Millis(350);
+const DECREASE_INTERVAL: Millis = Millis(350);
 
 /// How much the limit rises with a first event in time, while it is in use.
-const RISE: f64 = 0.4;
+const INCREASE_STEP: f64 = 0.4;
 
 /// The limit counts as in use from this part of it on.
-const IN_USE: f64 = 0.7;
+const IN_USE_FRACTION: f64 = 0.7;
 
 /// The limit of one model.
 #[derive(Clone, Copy, Debug)]
 pub struct Limit {
     level: f64,
     running: u32,
-    fell: Millis,
+    decreased_at: Millis,
 }
 
 impl Default for Limit {
     fn default() -> Limit {
-        Limit { level: START, running: 0, fell: Millis(0) }
+        Limit { level: INITIAL_LIMIT, running: 0, decreased_at: Millis(0) }
     }
 }
 
@@ -59,17 +59,17 @@
     }
 
     /// A first event came in time.
-    pub fn note_in_time(&mut self) {
-        if f64::from(self.running) >= self.level * IN_USE {
-            self.level = (self.level + RISE).min(START);
+    pub fn record_on_time(&mut self) {
+        if f64::from(self.running) >= self.level * IN_USE_FRACTION {
+            self.level = (self.level + INCREASE_STEP).min(INITIAL_LIMIT);
         }
     }
 
     /// A first event came late, or an engine had no place left.
-    pub fn note_late(&mut self, now: Millis) {
-        if now >= self.fell + FALL_PAUSE {
-            self.level = (self.level.min(f64::from(self.running)) * FALL).max(LEAST);
-            self.fell = now;
+    pub fn record_late(&mut self, now: Millis) {
+        if now >= self.decreased_at + DECREASE_INTERVAL {
+            self.level = (self.level.min(f64::from(self.running)) * DECREASE_FACTOR).max(MIN_LIMIT);
+            self.decreased_at = now;
         }
     }
 
--- a/crates/fleet/src/occupancy.rs
+++ b/crates/fleet/src/occupancy.rs
@@ -12,16 +12,16 @@
 use cottoncrank::{Millis, id};
 use serde::{Deserialize, Serialize};
 
-use crate::apportion::Want;
+use crate::allocation::Demand;
+use crate::feedback::Digest;
 use crate::runner::Epoch;
-use crate::said::News;
 
 /// A report counts for this long: three of the longest periods between two.
-pub const KEPT: Millis = Millis(1500);
+pub const REPORT_TTL: Millis = Millis(1500);
 
 /// A view that covers less than this part of the nodes says too little: a hall that
 /// is cut off, or a node on its own, would take busy groups for idle ones.
-pub const COVERED: f64 = 0.5;
+pub const MIN_COVERAGE: f64 = 0.5;
 
 /// Requests in flight by group. Epochs name groups: each is given out once.
 pub type Counts = BTreeMap<Epoch, u32>;
@@ -37,21 +37,21 @@
 
 /// What some nodes have in flight.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Sum {
+pub struct InFlight {
     /// How many nodes it covers.
     pub nodes: usize,
     /// Their requests.
     pub counts: Counts,
 }
 
-impl Sum {
+impl InFlight {
     /// What one node has.
-    pub fn of_node(counts: Counts) -> Sum {
-        Sum { nodes: 1, counts }
+    pub fn for_node(counts: Counts) -> InFlight {
+        InFlight { nodes: 1, counts }
     }
 
     /// Adds what other nodes have.
-    pub fn add(&mut self, more: &Sum) {
+    pub fn add(&mut self, more: &InFlight) {
         self.nodes += more.nodes;
         for (epoch, count) in &more.counts {
             *self.counts.entry(*epoch).or_default() += count;
@@ -59,11 +59,11 @@
     }
 
     /// Takes off what some of these nodes have.
-    pub fn subtract(&mut self, part: &Sum) {
+    pub fn subtract(&mut self, part: &InFlight) {
         self.nodes = self.nodes.saturating_sub(part.nodes);
         for (epoch, count) in &part.counts {
-            if let Some(left) = self.counts.get_mut(epoch) {
-                *left = left.saturating_sub(*count);
+            if let Some(remaining) = self.counts.get_mut(epoch) {
+                *remaining = remaining.saturating_sub(*count);
             }
         }
     }
@@ -88,29 +88,34 @@
     /// What it covers.
     pub scope: Scope,
     /// What is in flight.
-    pub sum: Sum,
+    #[serde(rename = "sum")]
+    pub in_flight: InFlight,
     /// Groups that failed a request of the node, or at which its streams do not get on.
     pub doubted: Vec<Epoch>,
     /// What runners have said of themselves: to the node, or to any of the hall.
-    pub news: News,
+    #[serde(rename = "news")]
+    pub feedback: Digest,
     /// What the hall wants of them; a node wants through its hall.
-    pub wants: Vec<Want>,
+    #[serde(rename = "wants")]
+    pub demands: Vec<Demand>,
 }
 
 /// The answer to a report.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Reply {
+pub struct ReportReply {
     /// What is in flight that the report does not cover.
-    pub sum: Sum,
+    #[serde(rename = "sum")]
+    pub in_flight: InFlight,
     /// What runners have said of themselves, as far as the node has to know it.
-    pub news: News,
+    #[serde(rename = "news")]
+    pub feedback: Digest,
 }
 
 #[derive(Clone, Debug)]
 struct Row {
-    sum: Sum,
+    in_flight: InFlight,
     doubted: Vec<Epoch>,
-    told: Millis,
+    received: Millis,
 }
 
 /// The reports a node holds. Only collectors get any.
@@ -122,10 +127,10 @@
 
 impl Table {
     /// Takes a report in.
-    pub fn put(&mut self, report: Report, now: Millis) {
-        self.nodes.retain(|_, row| now < row.told + KEPT);
-        self.halls.retain(|_, row| now < row.told + KEPT);
-        let row = Row { sum: report.sum, doubted: report.doubted, told: now };
+    pub fn insert(&mut self, report: Report, now: Millis) {
+        self.nodes.retain(|_, row| now < row.received + REPORT_TTL);
+        self.halls.retain(|_, row| now < row.received + REPORT_TTL);
+        let row = Row { in_flight: report.in_flight, doubted: report.doubted, received: now };
         match report.scope {
             Scope::Node => self.nodes.insert(report.node, row),
             Scope::Hall => self.halls.insert(report.hall, row),
@@ -134,29 +139,29 @@
 
     /// How many nodes of this hall tell this one what they have in flight.
     pub fn count_nodes(&self, now: Millis) -> usize {
-        self.nodes.values().filter(|row| now < row.told + KEPT).count()
+        self.nodes.values().filter(|row| now < row.received + REPORT_TTL).count()
     }
 
     /// Whether another hall's collector tells this one.
-    pub fn hears(&self, hall: &id::Hall, now: Millis) -> bool {
-        self.halls.get(hall).is_some_and(|row| now < row.told + KEPT)
+    pub fn has_report_from(&self, hall: &id::Hall, now: Millis) -> bool {
+        self.halls.get(hall).is_some_and(|row| now < row.received + REPORT_TTL)
     }
 
     /// A node of this hall begins a request that its last report does not have yet.
-    pub fn begin(&mut self, node: &id::Node, epoch: Epoch) {
+    pub fn begin_request(&mut self, node: &id::Node, epoch: Epoch) {
         if let Some(row) = self.nodes.get_mut(node) {
-            *row.sum.counts.entry(epoch).or_default() += 1;
+            *row.in_flight.counts.entry(epoch).or_default() += 1;
         }
     }
 
     /// What is in flight at each group over all nodes, with `own` as what this one has,
     /// and how many nodes of this hall doubt it.
-    pub fn sum_loads(&self, own: &Sum, now: Millis) -> HashMap<Epoch, Load> {
+    pub fn sum_loads(&self, own: &InFlight, now: Millis) -> HashMap<Epoch, Load> {
         let mut loads: HashMap<Epoch, Load> = HashMap::new();
-        let fresh = |row: &&Row| now < row.told + KEPT;
+        let fresh = |row: &&Row| now < row.received + REPORT_TTL;
         let nodes = self.nodes.values().filter(fresh);
         let halls = self.halls.values().filter(fresh);
-        let sums = nodes.clone().chain(halls).map(|row| &row.sum).chain(std::iter::once(own));
+        let sums = nodes.clone().chain(halls).map(|row| &row.in_flight).chain(std::iter::once(own));
         for (epoch, count) in sums.flat_map(|sum| &sum.counts) {
             loads.entry(*epoch).or_default().running += count;
         }
@@ -167,49 +172,49 @@
     }
 
     /// The sum over the nodes of this hall, `own` included.
-    pub fn sum_hall(&self, own: &Sum, now: Millis) -> Sum {
+    pub fn sum_hall(&self, own: &InFlight, now: Millis) -> InFlight {
         let mut sum = own.clone();
-        for row in self.nodes.values().filter(|row| now < row.told + KEPT) {
-            sum.add(&row.sum);
+        for row in self.nodes.values().filter(|row| now < row.received + REPORT_TTL) {
+            sum.add(&row.in_flight);
         }
         sum
     }
 
     /// The sum over the other halls.
-    pub fn sum_others(&self, now: Millis) -> Sum {
-        let mut sum = Sum::default();
-        for row in self.halls.values().filter(|row| now < row.told + KEPT) {
-            sum.add(&row.sum);
+    pub fn sum_others(&self, now: Millis) -> InFlight {
+        let mut sum = InFlight::default();
+        for row in self.halls.values().filter(|row| now < row.received + REPORT_TTL) {
+            sum.add(&row.in_flight);
         }
         sum
     }
 }
 
-/// What a node was last told of all the others.
+/// What a node was last received of all the others.
 #[derive(Clone, Debug, Default)]
-pub struct View {
+pub struct FleetLoad {
     others: Counts,
-    /// Whether it covers enough of the nodes to be used.
-    enough: bool,
-    asked: Option<Millis>,
+    /// Whether it covers covers_enough of the nodes to be used.
+    covers_enough: bool,
+    sent: Option<Millis>,
 }
 
-impl View {
-    /// Takes what the others have in flight, as asked for at `asked`, where `known`
+impl FleetLoad {
+    /// Takes what the others have in flight, as sent for at `sent`, where `known`
     /// nodes are known of, this one included.
-    pub fn put(&mut self, others: Sum, known: usize, asked: Millis) {
-        self.enough = (others.nodes + 1) as f64 >= COVERED * known as f64;
+    pub fn update(&mut self, others: InFlight, known: usize, sent: Millis) {
+        self.covers_enough = (others.nodes + 1) as f64 >= MIN_COVERAGE * known as f64;
         self.others = others.counts;
-        self.asked = Some(asked);
+        self.sent = Some(sent);
     }
 
     /// Whether the view can be used.
     pub fn is_usable(&self, now: Millis) -> bool {
-        self.enough && self.asked.is_some_and(|asked| now < asked + KEPT)
+        self.covers_enough && self.sent.is_some_and(|sent| now < sent + REPORT_TTL)
     }
 
     /// What the other nodes have in flight at each group.
-    pub fn list(&self) -> &Counts {
+    pub fn counts(&self) -> &Counts {
         &self.others
     }
 
--- a/crates/fleet/src/patience.rs
+++ b/crates/fleet/src/patience.rs
@@ -1,4 +1,4 @@
-//! How much of its time a request has used up before it came here.
+//! How much of its time a request has used up previous it came here.
 //!
 //! Callers say how long they still wait. A caller whose first try failed says less
 //! than those who come for the first time, so the longest wait seen lately on a route
@@ -10,26 +10,26 @@
 
 /// The longest wait is forgotten after this, or twice as long: callers of a route
 /// that change how long they wait are measured by the new figure then.
-pub const KEPT: Millis = Millis(10_000);
+pub const PERIOD: Millis = Millis(10_000);
 
 /// The longest waits of one route.
 #[derive(Clone, Copy, Debug, Default)]
 struct Row {
-    /// When the present period began.
-    since: Millis,
-    /// The longest wait of the present period.
-    present: Millis,
-    /// The longest wait of the period before.
-    before: Millis,
+    /// When the current period began.
+    started: Millis,
+    /// The longest wait of the current period.
+    current: Millis,
+    /// The longest wait of the period previous.
+    previous: Millis,
 }
 
 /// The longest waits seen lately, by route.
 #[derive(Clone, Debug, Default)]
-pub struct Patience {
+pub struct RequestAges {
     rows: HashMap<String, Row>,
 }
 
-impl Patience {
+impl RequestAges {
     /// How many routes are remembered: those with requests lately.
     pub fn count(&self) -> usize {
         self.rows.len()
@@ -37,15 +37,15 @@
 
     /// A request of a route comes whose caller still waits for `wait`. Returns how old
     /// it is.
-    pub fn note(&mut self, route: &str, wait: Millis, now: Millis) -> Millis {
+    pub fn record(&mut self, route: &str, wait: Millis, now: Millis) -> Millis {
         if !self.rows.contains_key(route) {
-            self.rows.retain(|_, row| now < row.since + KEPT + KEPT);
+            self.rows.retain(|_, row| now < row.started + PERIOD + PERIOD);
         }
-        let row = self.rows.entry(route.to_owned()).or_insert(Row { since: now, ..Row::default() });
-        if now >= row.since + KEPT {
-            *row = Row { since: now, present: Millis(0), before: row.present };
+        let row = self.rows.entry(route.to_owned()).or_insert(Row { started: now, ..Row::default() });
+        if now >= row.started + PERIOD {
+            *row = Row { started: now, current: Millis(0), previous: row.current };
         }
-        row.present = row.present.max(wait);
-        row.present.max(row.before).since(wait)
+        row.current = row.current.max(wait);
+        row.current.max(row.previous).since(wait)
     }
 }
--- a/crates/fleet/src/rate.rs
+++ b/crates/fleet/src/rate.rs
@@ -8,7 +8,7 @@
 use thiserror::Error;
 
 /// The highest rate that is told apart from none at all, in thousandths of a request a second.
-const MOST: u64 = 1_000_000_000;
+const MAX_RATE: u64 = 1_000_000_000;
 
 /// How many requests a second, in thousandths.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
@@ -28,7 +28,7 @@
 impl Rate {
     /// So many requests a second; those below 0 and beyond what is told apart are cut off.
     pub fn per_second(requests: f64) -> Rate {
-        Rate((requests * 1000.0).round().clamp(0.0, MOST as f64) as u64)
+        Rate((requests * 1000.0).round().clamp(0.0, MAX_RATE as f64) as u64)
     }
 
     /// The requests that it allows in a span.
@@ -37,7 +37,7 @@
     }
 
     /// How long it takes to allow so many requests; none if it never does.
-    pub fn wait(self, requests: f64) -> Option<Millis> {
+    pub fn time_to_allow(self, requests: f64) -> Option<Millis> {
         (self.0 > 0).then(|| Millis((requests * 1_000_000.0 / self.0 as f64).ceil() as u64))
     }
 }
@@ -52,10 +52,10 @@
     type Err = RateError;
 
     fn from_str(text: &str) -> Result<Rate, RateError> {
-        let bare = text.trim();
-        let number: f64 = bare
+        let trimmed = text.trim();
+        let number: f64 = trimmed
             .strip_suffix("/s")
-            .unwrap_or(bare)
+            .unwrap_or(trimmed)
             .parse()
             .map_err(|_| RateError::Number(text.to_owned()))?;
         match number.is_finite() && number >= 0.0 {
--- a/crates/fleet/src/roster.rs
+++ b/crates/fleet/src/roster.rs
@@ -4,9 +4,9 @@
 
 use cottoncrank::{Millis, id};
 
+use crate::feedback::LeavingRunner;
 use crate::plan::{Group, Plans};
 use crate::runner::{Life, Phase, Release, Runner, is_later};
-use crate::said::Leaving;
 
 /// Runners whose entry lapsed while the store was away are given this long
 /// after its return to write themselves in again. The platform names about two
@@ -105,9 +105,9 @@
     }
 
     /// The runners that have said in an answer that they are about to leave.
-    pub fn list_leaving(&self) -> Vec<Leaving> {
+    pub fn list_leaving(&self) -> Vec<LeavingRunner> {
         let leaving = self.leaving.iter();
-        leaving.map(|(id, life)| Leaving { runner: id.clone(), life: *life }).collect()
+        leaving.map(|(id, life)| LeavingRunner { runner: id.clone(), incarnation: *life }).collect()
     }
 
     /// Whether a runner has said in this life that it is about to leave.
--- a/crates/fleet/tests/backoff.rs
+++ b/crates/fleet/tests/backoff.rs
@@ -15,45 +15,45 @@
 #[test]
 fn a_backoff_lasts_as_long_as_it_says() {
     let (mut table, id) = (Table::default(), runner("a"));
-    assert!(table.put(&id, Some(Life(1)), SPAN, NOW));
-    assert_eq!(table.find(&id, Some(Life(1)), NOW), Some(NOW + SPAN));
-    assert_eq!(table.find(&id, Some(Life(1)), NOW + Millis(2999)), Some(NOW + SPAN));
-    assert_eq!(table.find(&id, Some(Life(1)), NOW + SPAN), None);
+    assert!(table.insert(&id, Some(Life(1)), SPAN, NOW));
+    assert_eq!(table.find_end(&id, Some(Life(1)), NOW), Some(NOW + SPAN));
+    assert_eq!(table.find_end(&id, Some(Life(1)), NOW + Millis(2999)), Some(NOW + SPAN));
+    assert_eq!(table.find_end(&id, Some(Life(1)), NOW + SPAN), None);
     assert!(!table.is_empty(NOW) && table.is_empty(NOW + SPAN));
-    assert_eq!(table.find(&runner("b"), None, NOW), None, "another runner wants requests");
+    assert_eq!(table.find_end(&runner("b"), None, NOW), None, "another runner wants requests");
 }
 
 #[test]
 fn the_latest_end_holds() {
     let (mut table, id) = (Table::default(), runner("a"));
-    table.put(&id, None, SPAN, NOW);
+    table.insert(&id, None, SPAN, NOW);
     // An answer that was overtaken by the one before, or a runner that names less.
-    assert!(!table.put(&id, None, Millis(500), NOW + Millis(100)), "it is known already");
-    assert_eq!(table.find(&id, None, NOW + Millis(700)), Some(NOW + SPAN));
-    table.put(&id, None, SPAN, NOW + Millis(1000));
-    assert_eq!(table.find(&id, None, NOW + Millis(3500)), Some(NOW + Millis(4000)));
+    assert!(!table.insert(&id, None, Millis(500), NOW + Millis(100)), "it is known already");
+    assert_eq!(table.find_end(&id, None, NOW + Millis(700)), Some(NOW + SPAN));
+    table.insert(&id, None, SPAN, NOW + Millis(1000));
+    assert_eq!(table.find_end(&id, None, NOW + Millis(3500)), Some(NOW + Millis(4000)));
 }
 
 #[test]
 fn a_life_owes_nothing_to_a_former_one() {
     let (mut table, id) = (Table::default(), runner("a"));
-    table.put(&id, Some(Life(5)), SPAN, NOW);
-    assert_eq!(table.find(&id, Some(Life(6)), NOW), None, "it has started again");
-    assert!(table.find(&id, Some(Life(5)), NOW).is_some());
-    assert!(table.find(&id, None, NOW).is_some(), "nobody says that it has");
+    table.insert(&id, Some(Life(5)), SPAN, NOW);
+    assert_eq!(table.find_end(&id, Some(Life(6)), NOW), None, "it has started again");
+    assert!(table.find_end(&id, Some(Life(5)), NOW).is_some());
+    assert!(table.find_end(&id, None, NOW).is_some(), "nobody says that it has");
     // The later life asks for less, and an answer of the former one comes late.
-    assert!(table.put(&id, Some(Life(6)), Millis(1000), NOW));
-    assert!(!table.put(&id, Some(Life(5)), SPAN, NOW));
-    assert_eq!(table.find(&id, Some(Life(6)), NOW), Some(NOW + Millis(1000)));
+    assert!(table.insert(&id, Some(Life(6)), Millis(1000), NOW));
+    assert!(!table.insert(&id, Some(Life(5)), SPAN, NOW));
+    assert_eq!(table.find_end(&id, Some(Life(6)), NOW), Some(NOW + Millis(1000)));
 }
 
 #[test]
 fn what_is_over_takes_no_memory() {
     let mut table = Table::default();
     for number in 0..1000 {
-        table.put(&runner(&format!("r{number}")), None, SPAN, NOW + Millis(number));
+        table.insert(&runner(&format!("r{number}")), None, SPAN, NOW + Millis(number));
     }
     assert_eq!(table.list(NOW + Millis(1000)).count(), 1000);
-    table.put(&runner("a"), None, SPAN, NOW + Millis(10_000));
+    table.insert(&runner("a"), None, SPAN, NOW + Millis(10_000));
     assert_eq!(table.list(NOW).count(), 1, "the others were dropped");
 }
--- a/crates/fleet/tests/belief.rs
+++ b/crates/fleet/tests/belief.rs
@@ -2,9 +2,9 @@
 
 use assert_matches::assert_matches;
 use cottoncrank::{Millis, id};
-use cottoncrank_fleet::balance::{Ledger, STALLED};
+use cottoncrank_fleet::balance::{Ledger, STALL_TIMEOUT};
 use cottoncrank_fleet::catalog::{Account, Catalog, Kind, Limits, Route, Target};
-use cottoncrank_fleet::event::{EVENT_MAX, EventError, Splitter};
+use cottoncrank_fleet::event::{EventError, MAX_EVENT_BYTES, Splitter};
 use cottoncrank_fleet::freshness::{DEAF, Freshness, MARGIN};
 use cottoncrank_fleet::limit::Limit;
 use cottoncrank_fleet::plan::{Document, Group, Plans, State};
@@ -54,14 +54,14 @@
     let mut ledger = Ledger::default();
     let known = member(1, 0, Phase::Open);
     let now = Millis(1000);
-    ledger.begin(&known.id);
+    ledger.begin_request(&known.id);
     ledger.begin_stream(&known.id);
-    ledger.blame(&known.id, now);
-    assert!(!ledger.is_sound(&known, now + STALLED));
-    ledger.restart(&known.id);
-    assert!(ledger.is_sound(&known, now + STALLED));
-    ledger.begin(&known.id);
-    ledger.end(&known.id);
+    ledger.record_failure(&known.id, now);
+    assert!(!ledger.is_healthy(&known, now + STALL_TIMEOUT));
+    ledger.record_restart(&known.id);
+    assert!(ledger.is_healthy(&known, now + STALL_TIMEOUT));
+    ledger.begin_request(&known.id);
+    ledger.end_request(&known.id);
     assert_eq!(ledger.get(&known.id).running, 1);
 }
 
@@ -206,14 +206,14 @@
 
 #[test]
 fn only_whole_and_new_events_are_passed_on() {
-    let mut splitter = Splitter::after(None);
+    let mut splitter = Splitter::resume_after(None);
     assert_eq!(splitter.push(b"id: 0\ndata: a\n\nid: 1\nda").unwrap(), "id: 0\ndata: a\n\n");
     assert!(!splitter.is_at_boundary());
     assert_eq!(splitter.push(b"ta: b\n\n").unwrap(), "id: 1\ndata: b\n\n");
     assert!(splitter.is_at_boundary());
-    assert_eq!(splitter.last(), Some(1));
+    assert_eq!(splitter.last_id(), Some(1));
     // Another runner goes on: what the caller has already is left out.
-    let mut splitter = Splitter::after(Some(1));
+    let mut splitter = Splitter::resume_after(Some(1));
     let events = splitter.push(b"id: 1\r\ndata: b\r\n\r\nid: 2\r\ndata: c\r\n\r\n").unwrap();
     assert_eq!(events, "id: 2\r\ndata: c\r\n\r\n");
     assert_matches!(splitter.push(b"id: 4\n\n"), Err(EventError::Gap { last: 2, found: 4 }));
@@ -221,8 +221,8 @@
 
 #[test]
 fn an_event_without_end_is_given_up() {
-    let mut splitter = Splitter::after(None);
-    let piece = vec![b'x'; EVENT_MAX + 1];
+    let mut splitter = Splitter::resume_after(None);
+    let piece = vec![b'x'; MAX_EVENT_BYTES + 1];
     assert_eq!(splitter.push(&piece), Err(EventError::TooLarge));
 }
 
@@ -279,27 +279,27 @@
     for _ in 0..20 {
         limit.begin();
     }
-    limit.note_late(now);
+    limit.record_late(now);
     assert!(!limit.admits() && limit.level() < 20.0);
     let fallen = limit.level();
-    limit.note_late(now + Millis(100));
+    limit.record_late(now + Millis(100));
     assert_eq!(limit.level(), fallen, "what is late for the same reason counts once");
     for _ in 0..40 {
         now = now + Millis(400);
-        limit.note_late(now);
+        limit.record_late(now);
     }
     assert!(limit.level() >= 3.0, "some go on, to show when there is room");
     for _ in 0..20 {
         limit.end();
     }
     let unused = limit.level();
-    limit.note_in_time();
+    limit.record_on_time();
     assert_eq!(limit.level(), unused, "a limit that is not in use proves nothing");
     while limit.admits() {
         limit.begin();
     }
     for _ in 0..10 {
-        limit.note_in_time();
+        limit.record_on_time();
     }
     assert!(limit.admits());
 }
@@ -308,24 +308,24 @@
 fn a_runner_that_turns_requests_away_in_a_row_is_passed_over_for_ever_longer() {
     let (mut ledger, runner) = (Ledger::default(), member(1, 0, Phase::Open));
     let mut now = Millis(10_000);
-    ledger.refuse(&runner.id, now);
-    assert!(ledger.is_sound(&runner, now), "one says little: it may have been full for a moment");
+    ledger.record_rejection(&runner.id, now);
+    assert!(ledger.is_healthy(&runner, now), "one says little: it may have been full for a moment");
     let mut spans = Vec::new();
     for _ in 0..6 {
-        ledger.refuse(&runner.id, now);
-        assert!(!ledger.is_sound(&runner, now));
-        assert_eq!(ledger.list_refusing(now).count(), 1);
+        ledger.record_rejection(&runner.id, now);
+        assert!(!ledger.is_healthy(&runner, now));
+        assert_eq!(ledger.list_rejecting(now).count(), 1);
         let from = now;
-        while !ledger.is_sound(&runner, now) {
+        while !ledger.is_healthy(&runner, now) {
             now = now + Millis(100);
         }
         spans.push(now.since(from).0);
     }
     assert_eq!(spans, [300, 600, 1200, 2400, 2500, 2500]);
     // Then one is tried, and what it takes clears it.
-    ledger.progress(&runner.id, now);
-    ledger.refuse(&runner.id, now);
-    assert!(ledger.is_sound(&runner, now) && ledger.list_refusing(now).next().is_none());
+    ledger.record_progress(&runner.id, now);
+    ledger.record_rejection(&runner.id, now);
+    assert!(ledger.is_healthy(&runner, now) && ledger.list_rejecting(now).next().is_none());
 }
 
 #[test]
@@ -333,8 +333,8 @@
     let (mut ledger, runner) = (Ledger::default(), member(1, 0, Phase::Open));
     for turn in 0..20 {
         let now = Millis(10_000 + 10 * turn);
-        ledger.refuse(&runner.id, now);
-        assert!(ledger.is_sound(&runner, now));
-        ledger.progress(&runner.id, now);
+        ledger.record_rejection(&runner.id, now);
+        assert!(ledger.is_healthy(&runner, now));
+        ledger.record_progress(&runner.id, now);
     }
 }
--- a/crates/fleet/tests/dispatch.rs
+++ b/crates/fleet/tests/dispatch.rs
@@ -7,12 +7,12 @@
 use cottoncrank::{Millis, id};
 use cottoncrank_fleet::balance::{Ledger, pick};
 use cottoncrank_fleet::catalog::{Model, Speed};
-use cottoncrank_fleet::dispatch::{Choice, Dispatcher, Question, Reply, Sample, Urgency};
+use cottoncrank_fleet::dispatch::{Candidates, Dispatcher, Query, Reply, Sample, Urgency};
+use cottoncrank_fleet::feedback::Digest;
 use cottoncrank_fleet::fingerprint::{Fingerprint, Request};
 use cottoncrank_fleet::occupancy::Load;
-use cottoncrank_fleet::occupancy::{Report, Scope, Sum, Table, View};
+use cottoncrank_fleet::occupancy::{FleetLoad, InFlight, Report, Scope, Table};
 use cottoncrank_fleet::runner::{Epoch, Membership, Phase, Runner};
-use cottoncrank_fleet::said::News;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
@@ -54,25 +54,25 @@
         node: node.parse().unwrap(),
         hall: "hall-a".parse().unwrap(),
         scope: Scope::Node,
-        sum: Sum::of_node(Default::default()),
+        in_flight: InFlight::for_node(Default::default()),
         doubted: doubted.iter().map(|epoch| Epoch(*epoch)).collect(),
-        news: News::default(),
-        wants: Vec::new(),
+        feedback: Digest::default(),
+        demands: Vec::new(),
     }
 }
 
 const REQUEST: Request = Request { account: None, method: "POST", path: "/write/x", body: b"body" };
 
-fn question(urgency: Urgency, tried: &[u64]) -> Question {
-    Question {
+fn question(urgency: Urgency, tried: &[u64]) -> Query {
+    Query {
         report: report("n1", &[]),
         service: "llm".parse().unwrap(),
         model: "small".parse().unwrap(),
         prompt: 700,
         urgency,
-        patience: None,
+        remaining_time: None,
         tried: tried.iter().map(|epoch| Epoch(*epoch)).collect(),
-        unwilling: Vec::new(),
+        backing_off: Vec::new(),
         fingerprint: Fingerprint::of(&REQUEST),
         samples: Vec::new(),
     }
@@ -81,8 +81,8 @@
 /// The group that takes the request, if one does.
 fn taken(reply: Reply) -> Option<Epoch> {
     match reply {
-        Reply::Take(promise) => Some(promise.epoch),
-        Reply::Throttled(_) | Reply::Full(_) | Reply::Unknown | Reply::Held | Reply::Deadly => None,
+        Reply::Assigned(promise) => Some(promise.epoch),
+        Reply::Throttled(_) | Reply::Full(_) | Reply::Unknown | Reply::Quarantined | Reply::Deadly => None,
     }
 }
 
@@ -91,19 +91,19 @@
     dispatcher: &mut Dispatcher,
     heads: &[Runner],
     load: impl Fn(Epoch) -> Load,
-    question: &Question,
+    question: &Query,
     now: Millis,
 ) -> Reply {
     let (hall, model): (id::Hall, Model) = ("hall-a".parse().unwrap(), model());
     let heads: Vec<&Runner> = heads.iter().collect();
-    let choice = Choice {
+    let choice = Candidates {
         hall: &hall,
-        silent: &[],
+        silent_halls: &[],
         heads: &heads,
         model: &model,
         speed: &SPEED,
-        trials: &[],
-        spent: &[],
+        trial_groups: &[],
+        rate_limited: &[],
     };
     dispatcher.choose(&choice, question, load, now, &mut SmallRng::seed_from_u64(1)).reply
 }
@@ -133,8 +133,8 @@
     let heads = [head(1, "hall-a"), head(2, "hall-a")];
     let full = [(1, running(20)), (2, running(20))];
     assert!(matches!(ask(&heads, &full, IN_TIME, &[]), Reply::Full(wait) if wait > 300));
-    assert_eq!(taken(ask(&heads, &full, Urgency::Again, &[1])), Some(Epoch(2)));
-    assert_eq!(ask(&heads, &full, Urgency::Again, &[1, 2]), Reply::Unknown, "both were tried");
+    assert_eq!(taken(ask(&heads, &full, Urgency::Retry, &[1])), Some(Epoch(2)));
+    assert_eq!(ask(&heads, &full, Urgency::Retry, &[1, 2]), Reply::Unknown, "both were tried");
 }
 
 #[test]
@@ -159,16 +159,16 @@
         let urgency = Urgency::Within(rng.random_range(0..600));
         let room = loads.iter().any(|(_, load)| f64::from(load.running) < 0.6 * f64::from(SLOTS));
         let reply = ask(&heads, &loads, urgency, &[]);
-        assert!(!room || matches!(reply, Reply::Take(_)), "{reply:?} to {urgency:?} with {loads:?}");
+        assert!(!room || matches!(reply, Reply::Assigned(_)), "{reply:?} to {urgency:?} with {loads:?}");
     }
 }
 
 #[test]
 fn a_group_that_nodes_doubt_is_passed_over_for_all_nodes_of_the_hall() {
     let mut table = Table::default();
-    table.put(report("n1", &[1]), Millis(1000));
-    table.put(report("n2", &[]), Millis(1000));
-    let loads = table.sum_loads(&Sum::default(), Millis(1000));
+    table.insert(report("n1", &[1]), Millis(1000));
+    table.insert(report("n2", &[]), Millis(1000));
+    let loads = table.sum_loads(&InFlight::default(), Millis(1000));
     assert_eq!(loads[&Epoch(1)], Load { running: 0, doubts: 1 });
     let heads = [head(1, "hall-a"), head(2, "hall-b")];
     let doubted = [(1, loads[&Epoch(1)]), (2, running(10))];
@@ -178,11 +178,11 @@
 #[test]
 fn a_request_counts_at_its_group_before_its_node_reports_it() {
     let mut table = Table::default();
-    table.put(report("n1", &[]), Millis(1000));
-    table.begin(&"n1".parse().unwrap(), Epoch(4));
-    assert_eq!(table.sum_loads(&Sum::default(), Millis(1001))[&Epoch(4)], running(1));
-    table.put(report("n1", &[]), Millis(1002));
-    assert!(table.sum_loads(&Sum::default(), Millis(1003)).is_empty());
+    table.insert(report("n1", &[]), Millis(1000));
+    table.begin_request(&"n1".parse().unwrap(), Epoch(4));
+    assert_eq!(table.sum_loads(&InFlight::default(), Millis(1001))[&Epoch(4)], running(1));
+    table.insert(report("n1", &[]), Millis(1002));
+    assert!(table.sum_loads(&InFlight::default(), Millis(1003)).is_empty());
 }
 
 #[test]
@@ -192,18 +192,18 @@
     let (here, there) = (head(1, "hall-a"), head(2, "hall-b"));
     let heads = [&here, &there];
     let silent = ["hall-b".parse().unwrap()];
-    let choice = Choice {
+    let choice = Candidates {
         hall: &hall,
-        silent: &silent,
+        silent_halls: &silent,
         heads: &heads,
         model: &model,
         speed: &SPEED,
-        trials: &[],
-        spent: &[],
+        trial_groups: &[],
+        rate_limited: &[],
     };
     let load = |epoch: Epoch| if epoch == Epoch(1) { running(15) } else { running(0) };
     let mut rng = SmallRng::seed_from_u64(1);
-    let question = question(Urgency::Again, &[]);
+    let question = question(Urgency::Retry, &[]);
     let reply = Dispatcher::default().choose(&choice, &question, load, Millis(1000), &mut rng).reply;
     assert_eq!(taken(reply), Some(Epoch(1)));
 }
@@ -215,14 +215,14 @@
     let (here, there) = (head(1, "hall-a"), head(2, "hall-b"));
     let heads = [&here, &there];
     let ask = |silent: &[id::Hall], doubts: u32| {
-        let choice = Choice {
+        let choice = Candidates {
             hall: &hall,
-            silent,
+            silent_halls: silent,
             heads: &heads,
             model: &model,
             speed: &SPEED,
-            trials: &[],
-            spent: &[],
+            trial_groups: &[],
+            rate_limited: &[],
         };
         let load = |epoch: Epoch| match epoch {
             Epoch(1) => running(20),
@@ -257,20 +257,20 @@
     let heads: Vec<Runner> = (1..=13).map(|number| head(number, "hall-a")).collect();
     let refs: Vec<&Runner> = heads.iter().collect();
     let (hall, model): (id::Hall, Model) = ("hall-a".parse().unwrap(), model());
-    let choice = Choice {
+    let choice = Candidates {
         hall: &hall,
-        silent: &[],
+        silent_halls: &[],
         heads: &refs,
         model: &model,
         speed: &SPEED,
-        trials: &[],
-        spent: &[],
+        trial_groups: &[],
+        rate_limited: &[],
     };
     let mut rng = SmallRng::seed_from_u64(11);
     let mut dispatcher = Dispatcher::default();
     let mut running_at: HashMap<Epoch, u32> = HashMap::new();
     let mut ends: BinaryHeap<Reverse<(u64, Epoch)>> = BinaryHeap::new();
-    let (mut view, mut told) = (View::default(), 0);
+    let (mut view, mut told) = (FleetLoad::default(), 0);
     let per_second = load * 13.0 * f64::from(SLOTS);
     let (mut now, mut asked, mut waiting) = (1000.0, 0, 0);
     while now < 61_000.0 {
@@ -285,13 +285,13 @@
         if at.0 >= told + 500 {
             told = at.0;
             let counts = running_at.iter().map(|(epoch, count)| (*epoch, *count)).collect();
-            view.put(Sum { nodes: 59, counts }, 60, at);
+            view.update(InFlight { nodes: 59, counts }, 60, at);
         }
         let epoch = match policy {
             Policy::Collector => {
                 let load = |epoch: Epoch| running(running_at.get(&epoch).copied().unwrap_or(0));
-                match dispatcher.choose(&choice, &question(Urgency::Again, &[]), load, at, &mut rng).reply {
-                    Reply::Take(promise) => promise.epoch,
+                match dispatcher.choose(&choice, &question(Urgency::Retry, &[]), load, at, &mut rng).reply {
+                    Reply::Assigned(promise) => promise.epoch,
                     reply => panic!("{reply:?}"),
                 }
             }
@@ -323,7 +323,7 @@
 }
 
 fn sample(later: i64) -> Sample {
-    Sample { service: "llm".parse().unwrap(), model: "small".parse().unwrap(), later }
+    Sample { service: "llm".parse().unwrap(), model: "small".parse().unwrap(), lateness: later }
 }
 
 #[test]
@@ -334,23 +334,23 @@
         choose(dispatcher, &heads, |_| running(13), &question, Millis(1000))
     };
     let mut dispatcher = Dispatcher::default();
-    let Reply::Take(promise) = ask(&mut dispatcher, 300) else { panic!("it has a free slot") };
+    let Reply::Assigned(promise) = ask(&mut dispatcher, 300) else { panic!("it has a free slot") };
     let wanted = promise.expected + 80;
-    assert!(matches!(ask(&mut Dispatcher::default(), wanted), Reply::Take(_)));
+    assert!(matches!(ask(&mut Dispatcher::default(), wanted), Reply::Assigned(_)));
     for _ in 0..40 {
-        dispatcher.learn(&sample(120));
+        dispatcher.record_sample(&sample(120));
     }
     assert!(matches!(ask(&mut dispatcher.clone(), wanted), Reply::Full(_)));
-    assert!(matches!(ask(&mut dispatcher.clone(), wanted + 200), Reply::Take(_)));
+    assert!(matches!(ask(&mut dispatcher.clone(), wanted + 200), Reply::Assigned(_)));
     // A minority of requests that met a group which stands still says nothing.
     for number in 0..200 {
-        dispatcher.learn(&sample(if number % 4 == 0 { 2000 } else { 120 }));
+        dispatcher.record_sample(&sample(if number % 4 == 0 { 2000 } else { 120 }));
     }
-    assert!(matches!(ask(&mut dispatcher.clone(), wanted + 200), Reply::Take(_)));
+    assert!(matches!(ask(&mut dispatcher.clone(), wanted + 200), Reply::Assigned(_)));
     for _ in 0..80 {
-        dispatcher.learn(&sample(0));
+        dispatcher.record_sample(&sample(0));
     }
-    assert!(matches!(ask(&mut dispatcher, wanted), Reply::Take(_)), "they come as expected again");
+    assert!(matches!(ask(&mut dispatcher, wanted), Reply::Assigned(_)), "they come as expected again");
 }
 
 #[test]
@@ -358,11 +358,11 @@
     let heads = [head(1, "hall-a")];
     let mut dispatcher = Dispatcher::default();
     for _ in 0..1000 {
-        dispatcher.learn(&sample(5000));
+        dispatcher.record_sample(&sample(5000));
     }
     let question = question(Urgency::Within(400), &[]);
     let reply = choose(&mut dispatcher, &heads, |_| running(12), &question, Millis(1000));
-    assert!(matches!(reply, Reply::Take(_)), "{reply:?}");
+    assert!(matches!(reply, Reply::Assigned(_)), "{reply:?}");
 }
 
 /// One group whose engine takes 120 ms longer than published before each first event, and
@@ -385,13 +385,13 @@
         now += -rng.random::<f64>().ln() * reading / 1.25;
         firsts.retain(|(at, later)| {
             if learning && *at <= now {
-                dispatcher.learn(&sample(*later));
+                dispatcher.record_sample(&sample(*later));
             }
             *at > now
         });
-        let question = Question { prompt, ..question(Urgency::Within(WANTED), &[]) };
+        let question = Query { prompt, ..question(Urgency::Within(WANTED), &[]) };
         let reply = choose(&mut dispatcher, &heads, |_| running(10), &question, Millis(now as u64));
-        let Reply::Take(promise) = reply else { continue };
+        let Reply::Assigned(promise) = reply else { continue };
         read = read.max(now) + reading;
         let first = read + passes + HIDDEN;
         let_in += 1;
@@ -415,16 +415,16 @@
     let refs: Vec<&Runner> = heads.iter().collect();
     let load = |epoch: Epoch| running(if epoch == Epoch(1) { 0 } else { 6 });
     let pick = |trials: &[Epoch]| {
-        let choice = Choice {
+        let choice = Candidates {
             hall: &hall,
-            silent: &[],
+            silent_halls: &[],
             heads: &refs,
             model: &model,
             speed: &SPEED,
-            trials,
-            spent: &[],
+            trial_groups: trials,
+            rate_limited: &[],
         };
-        let question = question(Urgency::Again, &[]);
+        let question = question(Urgency::Retry, &[]);
         let rng = &mut SmallRng::seed_from_u64(1);
         taken(Dispatcher::default().choose(&choice, &question, load, Millis(1000), rng).reply)
     };
@@ -440,14 +440,14 @@
     let heads = [&idle, &busy];
     let load = |epoch: Epoch| running(if epoch == Epoch(1) { 0 } else { 10 });
     let ask = |spent: &[(Epoch, Millis)]| {
-        let choice = Choice {
+        let choice = Candidates {
             hall: &hall,
-            silent: &[],
+            silent_halls: &[],
             heads: &heads,
             model: &model,
             speed: &SPEED,
-            trials: &[],
-            spent,
+            trial_groups: &[],
+            rate_limited: spent,
         };
         let question = question(IN_TIME, &[]);
         let mut rng = SmallRng::seed_from_u64(1);
--- a/crates/fleet/tests/occupancy.rs
+++ b/crates/fleet/tests/occupancy.rs
@@ -1,10 +1,10 @@
 //! What nodes tell each other of requests in flight, and what they make of it.
 
 use cottoncrank::{Millis, id};
-use cottoncrank_fleet::balance::{AVOID_HALL, Ledger, STALLED, has_room, pick};
-use cottoncrank_fleet::occupancy::{Counts, KEPT, Report, Scope, Sum, Table, View};
+use cottoncrank_fleet::balance::{HALL_AVOID_TIME, Ledger, STALL_TIMEOUT, has_room, pick};
+use cottoncrank_fleet::feedback::Digest;
+use cottoncrank_fleet::occupancy::{Counts, FleetLoad, InFlight, REPORT_TTL, Report, Scope, Table};
 use cottoncrank_fleet::runner::{Epoch, Membership, Phase, Runner};
-use cottoncrank_fleet::said::News;
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
@@ -38,8 +38,8 @@
     rows.iter().map(|(epoch, count)| (Epoch(*epoch), *count)).collect()
 }
 
-fn sum(nodes: usize, rows: &[(u64, u32)]) -> Sum {
-    Sum { nodes, counts: counts(rows) }
+fn sum(nodes: usize, rows: &[(u64, u32)]) -> InFlight {
+    InFlight { nodes, counts: counts(rows) }
 }
 
 fn report(node: &str, hall: &str, scope: Scope, rows: &[(u64, u32)]) -> Report {
@@ -47,21 +47,21 @@
         node: node.parse().unwrap(),
         hall: hall.parse().unwrap(),
         scope,
-        sum: sum(1, rows),
+        in_flight: sum(1, rows),
         doubted: Vec::new(),
-        news: News::default(),
-        wants: Vec::new(),
+        feedback: Digest::default(),
+        demands: Vec::new(),
     }
 }
 
-fn view(rows: &[(u64, u32)], asked: Millis) -> View {
-    let mut view = View::default();
-    view.put(sum(1, rows), 2, asked);
+fn view(rows: &[(u64, u32)], asked: Millis) -> FleetLoad {
+    let mut view = FleetLoad::default();
+    view.update(sum(1, rows), 2, asked);
     view
 }
 
 /// How often each of the runners is picked in a thousand picks.
-fn pick_often(heads: &[Runner], ledger: &Ledger, view: &View, now: Millis) -> Vec<usize> {
+fn pick_often(heads: &[Runner], ledger: &Ledger, view: &FleetLoad, now: Millis) -> Vec<usize> {
     let candidates: Vec<&Runner> = heads.iter().collect();
     let mut rng = SmallRng::seed_from_u64(7);
     let mut picked = vec![0; heads.len()];
@@ -88,7 +88,7 @@
     let mut ledger = Ledger::default();
     let picked = pick_often(&heads, &ledger, &view(&[(0, 5)], now), now);
     assert!(picked.iter().all(|count| *count > 280), "half full is as good as idle: {picked:?}");
-    ledger.begin(&heads[2].id);
+    ledger.begin_request(&heads[2].id);
     let picked = pick_often(&heads, &ledger, &view(&[(0, 5)], now), now);
     assert_eq!(picked[2], 0, "this node has one there already: {picked:?}");
 }
@@ -97,7 +97,7 @@
 fn an_old_view_counts_for_nothing() {
     let heads: Vec<Runner> = (0..2).map(head).collect();
     let old = view(&[(0, SLOTS)], Millis(1000));
-    let now = Millis(1000) + KEPT;
+    let now = Millis(1000) + REPORT_TTL;
     let picked = pick_often(&heads, &Ledger::default(), &old, now);
     assert!(picked[0] > 400, "what was full long ago is picked like the other one: {picked:?}");
     let candidates: Vec<&Runner> = heads.iter().collect();
@@ -118,9 +118,9 @@
         Some(true),
         "a queue at one runner takes no slot of another"
     );
-    ledger.begin(&heads[1].id);
+    ledger.begin_request(&heads[1].id);
     assert_eq!(room(&[(0, 10), (1, 7)], &ledger), Some(false), "own requests count");
-    ledger.blame(&heads[1].id, now);
+    ledger.record_failure(&heads[1].id, now);
     assert_eq!(room(&[(0, 8), (1, 0)], &ledger), Some(true));
     assert_eq!(room(&[(0, 9), (1, 0)], &ledger), Some(false), "a runner that failed has no room to offer");
 }
@@ -129,16 +129,20 @@
 fn a_collector_sums_what_lives_and_drops_what_does_not() {
     let mut table = Table::default();
     let (start, later) = (Millis(1000), Millis(2000));
-    table.put(report("n1", "hall-a", Scope::Node, &[(1, 2), (2, 1)]), start);
-    table.put(report("n2", "hall-a", Scope::Node, &[(1, 3)]), later);
-    table.put(report("n9", "hall-b", Scope::Hall, &[(1, 40)]), start);
+    table.insert(report("n1", "hall-a", Scope::Node, &[(1, 2), (2, 1)]), start);
+    table.insert(report("n2", "hall-a", Scope::Node, &[(1, 3)]), later);
+    table.insert(report("n9", "hall-b", Scope::Hall, &[(1, 40)]), start);
     assert_eq!(table.sum_hall(&sum(1, &[(1, 1)]), later), sum(3, &[(1, 6), (2, 1)]));
     assert_eq!(table.sum_others(later), sum(1, &[(1, 40)]));
-    table.put(report("n2", "hall-a", Scope::Node, &[(2, 7)]), later);
-    assert_eq!(table.sum_hall(&Sum::default(), later), sum(2, &[(1, 2), (2, 8)]), "the latest report counts");
-    let end = start + KEPT;
-    assert_eq!(table.sum_hall(&Sum::default(), end), sum(1, &[(2, 7)]), "n1 is gone or cut off");
-    assert_eq!(table.sum_others(end), Sum::default(), "and so is hall-b");
+    table.insert(report("n2", "hall-a", Scope::Node, &[(2, 7)]), later);
+    assert_eq!(
+        table.sum_hall(&InFlight::default(), later),
+        sum(2, &[(1, 2), (2, 8)]),
+        "the latest report counts"
+    );
+    let end = start + REPORT_TTL;
+    assert_eq!(table.sum_hall(&InFlight::default(), end), sum(1, &[(2, 7)]), "n1 is gone or cut off");
+    assert_eq!(table.sum_others(end), InFlight::default(), "and so is hall-b");
 }
 
 #[test]
@@ -151,13 +155,13 @@
 #[test]
 fn a_view_of_few_nodes_is_not_used() {
     let now = Millis(1000);
-    let mut view = View::default();
+    let mut view = FleetLoad::default();
     assert!(!view.is_usable(now), "nothing was told yet");
-    view.put(sum(4, &[]), 10, now);
+    view.update(sum(4, &[]), 10, now);
     assert!(view.is_usable(now), "five nodes of ten, this one included");
-    view.put(sum(3, &[]), 10, now);
+    view.update(sum(3, &[]), 10, now);
     assert!(!view.is_usable(now), "four of ten: a hall that is cut off");
-    view.put(Sum::default(), 1, now);
+    view.update(InFlight::default(), 1, now);
     assert!(view.is_usable(now), "the only node knows all");
 }
 
@@ -169,21 +173,21 @@
     let now = Millis(1000);
     let view = view(&[], now);
     let mut ledger = Ledger::default();
-    ledger.note_unreached(&there, now);
+    ledger.record_connect_timeout(&there, now);
     let picked = pick_often(&heads, &ledger, &view, now);
     assert!(picked[1] > 100, "one runner that is not reached may be lost: {picked:?}");
-    ledger.note_unreached(&there, now);
+    ledger.record_connect_timeout(&there, now);
     let picked = pick_often(&heads, &ledger, &view, now);
     assert_eq!(picked[0], 1000, "the way there is cut: {picked:?}");
-    let later = now + AVOID_HALL;
+    let later = now + HALL_AVOID_TIME;
     assert!(pick_often(&heads, &ledger, &view, later)[1] > 100, "then it is tried again");
-    ledger.note_unreached(&there, later);
+    ledger.record_connect_timeout(&there, later);
     assert_eq!(pick_often(&heads, &ledger, &view, later)[0], 1000, "still cut");
-    ledger.note_reached(&there);
+    ledger.record_connect(&there);
     assert!(pick_often(&heads, &ledger, &view, later)[1] > 100);
     // Where nothing else is left, those that were not reached are tried all the same.
-    ledger.note_unreached(&here, later);
-    ledger.note_unreached(&here, later);
+    ledger.record_connect_timeout(&here, later);
+    ledger.record_connect_timeout(&here, later);
     assert_eq!(pick_often(&heads[..1], &ledger, &view, later), [1000]);
 }
 
@@ -192,20 +196,20 @@
     let heads = [head(1), head(2)];
     let (now, mut ledger) = (Millis(10_000), Ledger::default());
     let id = &heads[0].id;
-    ledger.progress(id, now);
-    let later = now + STALLED;
+    ledger.record_progress(id, now);
+    let later = now + STALL_TIMEOUT;
     let idle = view(&[], later);
     assert!(pick_often(&heads, &ledger, &idle, later)[0] > 0, "no stream is under way there");
     ledger.begin_stream(id);
     assert!(pick_often(&heads, &ledger, &idle, later - Millis(1))[0] > 0, "it may be at a long pass");
     assert_eq!(pick_often(&heads, &ledger, &idle, later)[0], 0);
-    ledger.progress(id, later);
+    ledger.record_progress(id, later);
     assert!(pick_often(&heads, &ledger, &idle, later)[0] > 0, "it gets on again");
     ledger.end_stream(id);
-    assert!(pick_often(&heads, &ledger, &idle, later + STALLED)[0] > 0);
+    assert!(pick_often(&heads, &ledger, &idle, later + STALL_TIMEOUT)[0] > 0);
     // If all are stalled, any is better than none.
     for head in &heads {
         ledger.begin_stream(&head.id);
     }
-    assert!(pick_often(&heads, &ledger, &idle, later + STALLED)[0] > 0);
+    assert!(pick_often(&heads, &ledger, &idle, later + STALL_TIMEOUT)[0] > 0);
 }
--- a/crates/fleet/tests/pressure/mod.rs
+++ b/crates/fleet/tests/pressure/mod.rs
@@ -10,11 +10,11 @@
 use std::collections::BinaryHeap;
 
 use cottoncrank::{Millis, id};
-use cottoncrank_fleet::apportion::{Alone, Halls, Neighbor, Rations, Want, divide};
-use cottoncrank_fleet::occupancy::KEPT;
+use cottoncrank_fleet::allocation::{Allocations, Demand, Halls, LocalBuckets, OtherHall, divide};
+use cottoncrank_fleet::occupancy::REPORT_TTL;
 use cottoncrank_fleet::rate::Rate;
 use cottoncrank_fleet::runner::Life;
-use cottoncrank_fleet::throttle::{Claim, Table, Told};
+use cottoncrank_fleet::throttle::{Message, RateLimit, Table};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
@@ -125,7 +125,7 @@
 #[derive(Default)]
 struct Collector {
     table: Table,
-    rations: Rations,
+    rations: Allocations,
     /// When each other hall last told.
     heard: Vec<Option<u64>>,
     /// What it has lent, or was lent, and until when.
@@ -154,7 +154,7 @@
     halls: Vec<id::Hall>,
     collectors: Vec<Collector>,
     tables: Vec<Table>,
-    alone: Vec<Alone>,
+    alone: Vec<LocalBuckets>,
     runner: id::Runner,
     answers: BinaryHeap<Reverse<Answer>>,
     /// Claims on the way from a node to its collector.
@@ -177,7 +177,7 @@
             collectors: halls.iter().map(|_| collector()).collect(),
             halls,
             tables: vec![Table::default(); nodes],
-            alone: vec![Alone::default(); nodes],
+            alone: vec![LocalBuckets::default(); nodes],
             runner: "r".parse().unwrap(),
             answers: BinaryHeap::new(),
             reports: BinaryHeap::new(),
@@ -243,11 +243,11 @@
         }
     }
 
-    fn neighbors(&self, hall: usize, now: u64) -> Vec<Neighbor<'_>> {
+    fn neighbors(&self, hall: usize, now: u64) -> Vec<OtherHall<'_>> {
         let others = (0..self.halls.len()).filter(|other| *other != hall && self.is_there(*other, now));
         let silent =
-            |other: usize| self.collectors[hall].heard[other].is_none_or(|heard| now >= heard + KEPT.0);
-        others.map(|other| Neighbor { hall: &self.halls[other], silent: silent(other) }).collect()
+            |other: usize| self.collectors[hall].heard[other].is_none_or(|heard| now >= heard + REPORT_TTL.0);
+        others.map(|other| OtherHall { hall: &self.halls[other], is_silent: silent(other) }).collect()
     }
 
     /// Whether a request of a node goes to the runner.
@@ -265,7 +265,7 @@
         if self.way == Way::Nodes || !self.answers(hall, now) {
             let Some(rate) = own else { return natural };
             let runner = self.runner.clone();
-            return self.alone[node].take(&runner, rate, self.nodes, time, &mut self.rng);
+            return self.alone[node].try_spend(&runner, rate, self.nodes, time, &mut self.rng);
         }
         let Some(rate) = self.collectors[hall].table.find(&self.runner, life) else { return natural };
         let neighbors = self.neighbors(hall, now);
@@ -273,16 +273,16 @@
         let part = match self.way {
             Way::Wanted => {
                 let neighbors: Vec<(id::Hall, bool)> =
-                    neighbors.iter().map(|other| (other.hall.clone(), other.silent)).collect();
-                let neighbors: Vec<Neighbor> =
-                    neighbors.iter().map(|(hall, silent)| Neighbor { hall, silent: *silent }).collect();
+                    neighbors.iter().map(|other| (other.hall.clone(), other.is_silent)).collect();
+                let neighbors: Vec<OtherHall> =
+                    neighbors.iter().map(|(hall, silent)| OtherHall { hall, is_silent: *silent }).collect();
                 let own = self.halls[hall].clone();
                 let halls = Halls { own: &own, others: neighbors };
                 let rations = &mut self.collectors[hall].rations;
-                rations.want(&self.runner, time);
-                let goes = rations.look(&self.runner, rate, &halls, time).wait == Millis(0);
+                rations.record_demand(&self.runner, time);
+                let goes = rations.check(&self.runner, rate, &halls, time).wait == Millis(0);
                 if goes {
-                    rations.take(&self.runner);
+                    rations.spend(&self.runner);
                 }
                 return goes;
             }
@@ -317,14 +317,14 @@
                 return;
             }
             self.answers.pop();
-            let claim = Claim {
+            let claim = RateLimit {
                 runner: self.runner.clone(),
-                life: Some(Life(life)),
+                incarnation: Some(Life(life)),
                 rate: named,
-                asked: Millis(asked),
-                heard: Millis(at),
+                sent: Millis(asked),
+                received: Millis(at),
             };
-            self.tables[node].put(claim);
+            self.tables[node].apply(claim);
             self.reports.push(Reverse((now + self.rng.random_range(1..500), node)));
         }
     }
@@ -336,10 +336,11 @@
             }
             self.reports.pop();
             let hall = self.hall_of(node);
-            let told: Vec<Told> = self.tables[node].iter().map(|claim| claim.tell(Millis(now))).collect();
+            let told: Vec<Message> =
+                self.tables[node].iter().map(|claim| claim.to_message(Millis(now))).collect();
             if self.answers(hall, now) {
                 for told in told {
-                    self.collectors[hall].table.put(told.read(Millis(now)));
+                    self.collectors[hall].table.apply(told.to_rate_limit(Millis(now)));
                 }
             }
         }
@@ -351,9 +352,9 @@
             if !self.answers(from, now) || !self.is_there(from, now) {
                 continue;
             }
-            let claims: Vec<Told> =
-                self.collectors[from].table.iter().map(|claim| claim.tell(Millis(now))).collect();
-            let wants: Vec<Want> = self.collectors[from].rations.list_wants(Millis(now));
+            let claims: Vec<Message> =
+                self.collectors[from].table.iter().map(|claim| claim.to_message(Millis(now))).collect();
+            let wants: Vec<Demand> = self.collectors[from].rations.list_demands(Millis(now));
             let own = self.collectors[from].wants[from];
             for to in 0..self.halls.len() {
                 let reaches = !self.is_cut(from, now) && !self.is_cut(to, now);
@@ -365,9 +366,9 @@
                 collector.heard[from] = Some(now);
                 collector.wants[from] = own;
                 for told in &claims {
-                    collector.table.put(told.read(Millis(now)));
+                    collector.table.apply(told.to_rate_limit(Millis(now)));
                 }
-                collector.rations.hear(&hall, &wants);
+                collector.rations.receive_demands(&hall, &wants);
             }
         }
         self.lend(now);
--- a/crates/fleet/tests/refusals.rs
+++ b/crates/fleet/tests/refusals.rs
@@ -14,7 +14,7 @@
 use cottoncrank::{Millis, id};
 use cottoncrank_fleet::occupancy::Counts;
 use cottoncrank_fleet::plan::Group;
-use cottoncrank_fleet::refusals::Table;
+use cottoncrank_fleet::rejections::Table;
 use cottoncrank_fleet::runner::Phase;
 use instant::{World, at_rest};
 
@@ -74,14 +74,14 @@
     let (one, two): (id::Runner, id::Runner) = ("r1".parse().unwrap(), "r2".parse().unwrap());
     let mut table = Table::default();
     for now in (0..2000).step_by(500) {
-        table.note(&one, true, Millis(now));
-        table.note(&two, false, Millis(now));
+        table.record(&one, true, Millis(now));
+        table.record(&two, false, Millis(now));
     }
     let now = Millis(1500);
     assert_eq!(table.list(now).count(), 2);
-    assert_eq!(table.list_here(now).collect::<Vec<_>>(), [&one], "others have told of the other one");
-    assert_eq!(table.list_lasting(now).count(), 2);
+    assert_eq!(table.list_local(now).collect::<Vec<_>>(), [&one], "others have told of the other one");
+    assert_eq!(table.list_persistent(now).count(), 2);
     assert_eq!(table.list(Millis(3000)).count(), 0);
-    table.note(&one, true, Millis(4000));
-    assert_eq!(table.list_lasting(Millis(4000)).count(), 0, "it has begun anew");
+    table.record(&one, true, Millis(4000));
+    assert_eq!(table.list_persistent(Millis(4000)).count(), 0, "it has begun anew");
 }
--- a/crates/fleet/tests/retries.rs
+++ b/crates/fleet/tests/retries.rs
@@ -40,7 +40,8 @@
 /// in two seconds.
 fn play(nodes: usize, per_second: f64, span: Millis, trouble: Trouble) -> Outcome {
     let share = Share::of(SLACK, nodes);
-    let mut own: Vec<Budget> = (0..nodes).map(|_| Budget::new(RATIO * share.part(), share.own)).collect();
+    let mut own: Vec<Budget> =
+        (0..nodes).map(|_| Budget::new(RATIO * share.budget_fraction(), share.budget)).collect();
     // Two collectors a hall: the second one collects only in trouble.
     let mut pools = vec![[Pool::default(), Pool::default()]; HALLS];
     let begin = Millis(25_000);
@@ -60,15 +61,15 @@
         (0..nodes).for_each(|node| told[node % HALLS][place(node)] += 1);
         for (pool, told) in pools.iter_mut().flatten().zip(told.into_iter().flatten()) {
             match told {
-                0 => pool.resign(),
-                _ => pool.keep(share.left * f64::from(told), WINDOW, now),
+                0 => pool.reset(),
+                _ => pool.set_capacity(share.pooled * f64::from(told), WINDOW, now),
             }
         }
         for node in 0..nodes {
             let pool = &mut pools[node % HALLS][place(node)];
             if (now.0 / TICK.0) as usize % 40 == node % 40 {
                 own[node].earn();
-                pool.earn(RATIO * (1.0 - share.part()));
+                pool.deposit(RATIO * (1.0 - share.budget_fraction()));
                 requests.push_back(now);
             }
             if now < begin {
@@ -78,7 +79,7 @@
             while debt[node] >= 1.0 {
                 debt[node] -= 1.0;
                 outcome.wanted += 1;
-                if own[node].spend() || pool.lend() {
+                if own[node].spend() || pool.grant() {
                     outcome.made += 1;
                     made.push_back(now);
                 }
@@ -129,10 +130,10 @@
     let mut lent = 0;
     let share = Share::of(SLACK, 985);
     let mut pool = Pool::default();
-    pool.keep(share.left * 197.0, WINDOW, Millis(0));
-    pool.keep(share.left * 197.0, WINDOW, WINDOW);
+    pool.set_capacity(share.pooled * 197.0, WINDOW, Millis(0));
+    pool.set_capacity(share.pooled * 197.0, WINDOW, WINDOW);
     for _ in 0..4 {
-        lent += (0..40).filter(|_| pool.lend()).count();
+        lent += (0..40).filter(|_| pool.grant()).count();
     }
     assert_eq!(lent, 160, "a hall of 197 nodes has 166, and each of four nodes wants forty");
 }
@@ -140,10 +141,10 @@
 #[test]
 fn a_collector_that_has_just_become_one_lends_what_is_earned_alone() {
     let mut pool = Pool::default();
-    pool.keep(100.0, WINDOW, Millis(5));
-    assert!(!pool.lend(), "whoever collected before may have lent as much just now");
-    pool.earn(1.5);
-    assert!(pool.lend() && !pool.lend());
-    pool.keep(100.0, WINDOW, Millis(5) + WINDOW);
-    assert_eq!((0..200).filter(|_| pool.lend()).count(), 100);
+    pool.set_capacity(100.0, WINDOW, Millis(5));
+    assert!(!pool.grant(), "whoever collected before may have lent as much just now");
+    pool.deposit(1.5);
+    assert!(pool.grant() && !pool.grant());
+    pool.set_capacity(100.0, WINDOW, Millis(5) + WINDOW);
+    assert_eq!((0..200).filter(|_| pool.grant()).count(), 100);
 }
--- a/crates/fleet/tests/throttle.rs
+++ b/crates/fleet/tests/throttle.rs
@@ -4,10 +4,12 @@
 
 use assert_matches::assert_matches;
 use cottoncrank::{Millis, id};
-use cottoncrank_fleet::apportion::{Alone, Caller, Halls, Neighbor, Outlook, Rations, Returns, Want, divide};
+use cottoncrank_fleet::allocation::{
+    Allocations, Availability, Caller, Demand, Halls, LocalBuckets, OtherHall, RetrySchedule, divide,
+};
 use cottoncrank_fleet::rate::{Rate, RateError};
 use cottoncrank_fleet::runner::Life;
-use cottoncrank_fleet::throttle::{Change, Claim, Table};
+use cottoncrank_fleet::throttle::{Change, RateLimit, Table};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use rand::rngs::SmallRng;
@@ -17,9 +19,15 @@
     "r1".parse().unwrap()
 }
 
-fn claim(life: u64, rate: Option<f64>, asked: u64, heard: u64) -> Claim {
+fn claim(life: u64, rate: Option<f64>, asked: u64, heard: u64) -> RateLimit {
     let rate = rate.map(Rate::per_second);
-    Claim { runner: runner(), life: Some(Life(life)), rate, asked: Millis(asked), heard: Millis(heard) }
+    RateLimit {
+        runner: runner(),
+        incarnation: Some(Life(life)),
+        rate,
+        sent: Millis(asked),
+        received: Millis(heard),
+    }
 }
 
 fn find(table: &Table, life: u64) -> Option<Rate> {
@@ -44,31 +52,31 @@
 #[test]
 fn a_later_answer_holds_and_a_former_one_changes_nothing() {
     let mut table = Table::default();
-    assert_eq!(table.put(claim(1, Some(2.0), 100, 200)), Change::Named(Rate(2000)));
-    assert_eq!(table.put(claim(1, Some(9.0), 10, 90)), Change::None, "said before");
-    assert_eq!(table.put(claim(1, Some(5.0), 200, 300)), Change::Named(Rate(5000)));
-    assert_eq!(table.put(claim(1, None, 300, 400)), Change::Withdrawn);
+    assert_eq!(table.apply(claim(1, Some(2.0), 100, 200)), Change::Set(Rate(2000)));
+    assert_eq!(table.apply(claim(1, Some(9.0), 10, 90)), Change::None, "said before");
+    assert_eq!(table.apply(claim(1, Some(5.0), 200, 300)), Change::Set(Rate(5000)));
+    assert_eq!(table.apply(claim(1, None, 300, 400)), Change::Withdrawn);
     assert_eq!(find(&table, 1), None);
 }
 
 #[test]
 fn the_lower_rate_holds_while_the_order_is_not_known() {
     let mut table = Table::default();
-    table.put(claim(1, Some(2.0), 100, 200));
+    table.apply(claim(1, Some(2.0), 100, 200));
     for (rate, asked) in [(Some(8.0), 150), (None, 199)] {
-        assert_eq!(table.put(claim(1, rate, asked, 300)), Change::None, "both were under way at once");
+        assert_eq!(table.apply(claim(1, rate, asked, 300)), Change::None, "both were under way at once");
     }
-    assert_eq!(table.put(claim(1, Some(1.0), 150, 300)), Change::Named(Rate(1000)));
-    assert_eq!(table.put(claim(1, Some(8.0), 300, 350)), Change::Named(Rate(8000)));
+    assert_eq!(table.apply(claim(1, Some(1.0), 150, 300)), Change::Set(Rate(1000)));
+    assert_eq!(table.apply(claim(1, Some(8.0), 300, 350)), Change::Set(Rate(8000)));
 }
 
 #[test]
 fn a_new_life_owes_nothing_to_a_former_one() {
     let mut table = Table::default();
-    table.put(claim(1, Some(2.0), 100, 200));
+    table.apply(claim(1, Some(2.0), 100, 200));
     assert_eq!(find(&table, 2), None);
-    assert_eq!(table.put(claim(2, Some(3.0), 150, 300)), Change::Named(Rate(3000)));
-    assert_eq!(table.put(claim(1, Some(1.0), 400, 500)), Change::None, "a former life's answer, late");
+    assert_eq!(table.apply(claim(2, Some(3.0), 150, 300)), Change::Set(Rate(3000)));
+    assert_eq!(table.apply(claim(1, Some(1.0), 400, 500)), Change::None, "a former life's answer, late");
     assert_eq!(find(&table, 2), Some(Rate(3000)));
 }
 
@@ -87,12 +95,12 @@
 fn a_runner_that_takes_nothing_is_asked_again_now_and_then() {
     let own: id::Hall = "hall-a".parse().unwrap();
     let halls = Halls { own: &own, others: Vec::new() };
-    let mut rations = Rations::default();
+    let mut rations = Allocations::default();
     let mut sent = Vec::new();
     for now in (0..60_000).step_by(100) {
-        rations.want(&runner(), Millis(now));
-        if rations.look(&runner(), Rate(0), &halls, Millis(now)).wait == Millis(0) {
-            rations.take(&runner());
+        rations.record_demand(&runner(), Millis(now));
+        if rations.check(&runner(), Rate(0), &halls, Millis(now)).wait == Millis(0) {
+            rations.spend(&runner());
             sent.push(now);
         }
     }
@@ -102,11 +110,11 @@
 #[test]
 fn callers_without_a_place_come_back_one_after_the_other() {
     let service: id::Service = "llm".parse().unwrap();
-    let outlook = Outlook { wait: Millis(300), part: Rate(2000) };
-    let mut returns = Returns::default();
+    let outlook = Availability { wait: Millis(300), rate: Rate(2000) };
+    let mut returns = RetrySchedule::default();
     let mut plan = |now, patience| {
-        let caller = Caller { service: &service, model: None, patience: Some(Millis(patience)) };
-        returns.plan(&caller, outlook, Millis(now)).0
+        let caller = Caller { service: &service, model: None, remaining_time: Some(Millis(patience)) };
+        returns.schedule(&caller, outlook, Millis(now)).0
     };
     assert_eq!([plan(1000, 6000), plan(1000, 6000), plan(1000, 6000)], [300, 800, 1300]);
     assert_eq!([plan(1000, 3000), plan(1000, 6000)], [1800, 1800], "who leaves before takes no place");
@@ -115,12 +123,12 @@
 
 #[test]
 fn nodes_that_are_alone_send_no_more_than_the_rate_together() {
-    let mut nodes = vec![Alone::default(); 100];
+    let mut nodes = vec![LocalBuckets::default(); 100];
     let mut rng = SmallRng::seed_from_u64(1);
     let mut sent = Vec::new();
     for now in (0..100_000).step_by(10) {
         for alone in &mut nodes {
-            if alone.take(&runner(), Rate(2000), 100, Millis(now), &mut rng) {
+            if alone.try_spend(&runner(), Rate(2000), 100, Millis(now), &mut rng) {
                 sent.push(now);
             }
         }
@@ -133,7 +141,7 @@
 
 /// Answers as a runner gives them, one after the other: what it named, when each was asked for
 /// and when it came, in which life it was given.
-fn answers() -> impl Strategy<Value = Vec<Claim>> {
+fn answers() -> impl Strategy<Value = Vec<RateLimit>> {
     let one = (0..300u64, 1..500u64, prop::option::of(0..50_000u64), prop::bool::weighted(0.1));
     prop::collection::vec(one, 1..40).prop_map(|answers| {
         let (mut said, mut life) = (1000, 1);
@@ -142,7 +150,7 @@
             life += u64::from(restarts);
             let rate = rate.map(Rate);
             let (asked, heard) = (Millis(said - way), Millis(said + way));
-            Claim { runner: runner(), life: Some(Life(life)), rate, asked, heard }
+            RateLimit { runner: runner(), incarnation: Some(Life(life)), rate, sent: asked, received: heard }
         });
         made.collect()
     })
@@ -160,15 +168,15 @@
     #[test]
     fn the_last_word_holds(mut answers in answers(), order in any::<prop::sample::Index>(), rate in prop::option::of(0..50_000u64)) {
         let last = answers.last().unwrap().clone();
-        let end = answers.iter().map(|claim| claim.heard).max().unwrap();
-        let word = Claim { rate: rate.map(Rate), asked: end, heard: end + Millis(50), ..last };
+        let end = answers.iter().map(|claim| claim.received).max().unwrap();
+        let word = RateLimit { rate: rate.map(Rate), sent: end, received: end + Millis(50), ..last };
         let mut table = Table::default();
         let middle = order.index(answers.len());
         answers.rotate_left(middle);
         for claim in answers.iter().chain([&word]).chain(&answers) {
-            table.put(claim.clone());
+            table.apply(claim.clone());
         }
-        prop_assert_eq!(table.find(&word.runner, word.life), word.rate);
+        prop_assert_eq!(table.find(&word.runner, word.incarnation), word.rate);
     }
 
     /// What holds is never higher than what may have been said last, of all that was read since
@@ -177,20 +185,20 @@
     #[test]
     fn nothing_higher_comes_back(answers in answers(), seed in any::<u64>()) {
         let mut table = Table::default();
-        let mut told: Vec<Claim> = Vec::new();
-        let mut order: Vec<&Claim> = answers.iter().collect();
+        let mut told: Vec<RateLimit> = Vec::new();
+        let mut order: Vec<&RateLimit> = answers.iter().collect();
         rand::seq::SliceRandom::shuffle(&mut order[..], &mut SmallRng::seed_from_u64(seed));
         for claim in order {
             let known = table.iter().next().is_some();
-            table.put(claim.clone());
+            table.apply(claim.clone());
             if known || claim.rate.is_some() {
                 told.push(claim.clone());
             }
-            let life = told.iter().filter_map(|claim| claim.life).max();
+            let life = told.iter().filter_map(|claim| claim.incarnation).max();
             let found = table.find(&claim.runner, life);
-            let newest = told.iter().filter(|claim| claim.life == life);
-            let is_outdated = |claim: &Claim| told.iter().any(|other| {
-                other.life == life && other.asked >= claim.heard && other.rate != claim.rate
+            let newest = told.iter().filter(|claim| claim.incarnation == life);
+            let is_outdated = |claim: &RateLimit| told.iter().any(|other| {
+                other.incarnation == life && other.sent >= claim.received && other.rate != claim.rate
             });
             let order = |rate: Option<Rate>| rate.unwrap_or(Rate(u64::MAX));
             let possible = newest.filter(|claim| !is_outdated(claim)).map(|claim| order(claim.rate));
@@ -226,7 +234,7 @@
         seed in any::<u64>(),
     ) {
         let halls: Vec<id::Hall> = (0..busy.len()).map(|n| format!("hall-{n}").parse().unwrap()).collect();
-        let mut rations = vec![Rations::default(); halls.len()];
+        let mut rations = vec![Allocations::default(); halls.len()];
         let mut rng = SmallRng::seed_from_u64(seed);
         let mut sent: Vec<u64> = Vec::new();
         let mut by_hall: BTreeMap<usize, u32> = BTreeMap::new();
@@ -234,9 +242,9 @@
             let silent = |hall: usize| silences.iter().any(|(from, span, of)| *of == hall && (*from..from + span).contains(&now));
             if now.is_multiple_of(150) {
                 for from in (0..halls.len()).filter(|from| !silent(*from)) {
-                    let wants: Vec<Want> = rations[from].list_wants(Millis(now));
+                    let wants: Vec<Demand> = rations[from].list_demands(Millis(now));
                     for to in (0..halls.len()).filter(|to| *to != from && !silent(*to)) {
-                        rations[to].hear(&halls[from], &wants);
+                        rations[to].receive_demands(&halls[from], &wants);
                     }
                 }
             }
@@ -246,13 +254,13 @@
                 }
                 let others = (0..halls.len()).filter(|other| *other != hall);
                 let others = others
-                    .map(|other| Neighbor { hall: &halls[other], silent: silent(other) || silent(hall) })
+                    .map(|other| OtherHall { hall: &halls[other], is_silent: silent(other) || silent(hall) })
                     .collect();
                 let view = Halls { own: &halls[hall], others };
                 let ration = &mut rations[hall];
-                ration.want(&runner(), Millis(now));
-                if ration.look(&runner(), Rate(rate), &view, Millis(now)).wait == Millis(0) {
-                    ration.take(&runner());
+                ration.record_demand(&runner(), Millis(now));
+                if ration.check(&runner(), Rate(rate), &view, Millis(now)).wait == Millis(0) {
+                    ration.spend(&runner());
                     sent.push(now);
                     *by_hall.entry(hall).or_default() += 1;
                 }
--- a/crates/fleet/tests/unwilling.rs
+++ b/crates/fleet/tests/unwilling.rs
@@ -11,11 +11,11 @@
 use cottoncrank_fleet::backoff;
 use cottoncrank_fleet::balance::Ledger;
 use cottoncrank_fleet::catalog::{Model, Speed};
-use cottoncrank_fleet::dispatch::{Choice, Dispatcher, Question, Reply, Urgency};
+use cottoncrank_fleet::dispatch::{Candidates, Dispatcher, Query, Reply, Urgency};
+use cottoncrank_fleet::feedback::Digest;
 use cottoncrank_fleet::fingerprint::{Fingerprint, Request};
-use cottoncrank_fleet::occupancy::{Load, Report, Scope, Sum};
+use cottoncrank_fleet::occupancy::{InFlight, Load, Report, Scope};
 use cottoncrank_fleet::runner::{Epoch, Membership, Phase, Runner};
-use cottoncrank_fleet::said::News;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
@@ -131,7 +131,7 @@
 
     fn list_unwilling(&self, node: usize, now: Millis) -> Vec<Epoch> {
         let of = |node: usize| {
-            self.heads.iter().filter(move |head| self.backoffs[node].find(&head.id, None, now).is_some())
+            self.heads.iter().filter(move |head| self.backoffs[node].find_end(&head.id, None, now).is_some())
         };
         let epoch = |head: &Runner| head.membership.as_ref().unwrap().epoch;
         match self.way {
@@ -139,7 +139,7 @@
             Way::Named | Way::Doubted => of(node).map(epoch).collect(),
             Way::Shared => (0..self.backoffs.len()).flat_map(of).map(epoch).collect(),
             Way::PassedOver => {
-                let refusing: Vec<&id::Runner> = self.ledgers[node].list_refusing(now).collect();
+                let refusing: Vec<&id::Runner> = self.ledgers[node].list_rejecting(now).collect();
                 self.heads.iter().filter(|head| refusing.contains(&&head.id)).map(epoch).collect()
             }
         }
@@ -156,23 +156,23 @@
             }
             _ => HashMap::new(),
         };
-        let question = Question {
+        let question = Query {
             report: Report {
                 node: format!("n{node}").parse().unwrap(),
                 hall: "hall-a".parse().unwrap(),
                 scope: Scope::Node,
-                sum: Sum::default(),
+                in_flight: InFlight::default(),
                 doubted: Vec::new(),
-                news: News::default(),
-                wants: Vec::new(),
+                feedback: Digest::default(),
+                demands: Vec::new(),
             },
             service: "llm".parse().unwrap(),
             model: "small".parse().unwrap(),
             prompt: 700,
-            urgency: if tried.is_empty() { Urgency::Within(300) } else { Urgency::Again },
-            patience: None,
+            urgency: if tried.is_empty() { Urgency::Within(300) } else { Urgency::Retry },
+            remaining_time: None,
             tried: tried.to_vec(),
-            unwilling: self.list_unwilling(node, now),
+            backing_off: self.list_unwilling(node, now),
             fingerprint: Fingerprint::of(&Request { account: None, method: "POST", path: "/", body: b"b" }),
             samples: Vec::new(),
         };
@@ -180,14 +180,14 @@
         let (load, warm) = (Millis(12_000), Millis(1100));
         let model = Model { name: "small".parse().unwrap(), size: 4, share: 1.0, load, warm, pace: 0.6 };
         let heads: Vec<&Runner> = self.heads.iter().collect();
-        let choice = Choice {
+        let choice = Candidates {
             hall: &hall,
-            silent: &[],
+            silent_halls: &[],
             heads: &heads,
             model: &model,
             speed: &SPEED,
-            trials: &[],
-            spent: &[],
+            trial_groups: &[],
+            rate_limited: &[],
         };
         let load = |epoch: Epoch| Load {
             running: self.running.get(&epoch).copied().unwrap_or(0),
@@ -207,14 +207,14 @@
     fn ask(&mut self, node: usize, now: Millis) -> (u32, bool) {
         let mut tried = Vec::new();
         while tried.len() < TRIES {
-            let Reply::Take(promise) = self.choose(node, &tried, now) else { break };
+            let Reply::Assigned(promise) = self.choose(node, &tried, now) else { break };
             let epoch = promise.epoch;
             if let Some((at, sent)) = self.asked.get_mut(&(node, epoch)) {
                 let binds = (*at + UNDER_WAY).0..(*at + SPAN).0;
                 *sent += u32::from(binds.contains(&now.0));
             }
             if !self.is_refusing(node, epoch, now) {
-                self.ledgers[node].progress(&self.heads[epoch.0 as usize - 1].id, now);
+                self.ledgers[node].record_progress(&self.heads[epoch.0 as usize - 1].id, now);
                 *self.running.entry(epoch).or_default() += 1;
                 self.ends.push(Reverse((now.0 + self.rng.random_range(300..1700), epoch)));
                 return (tried.len() as u32, true);
@@ -222,9 +222,9 @@
             tried.push(epoch);
             let id = self.heads[epoch.0 as usize - 1].id.clone();
             match self.way {
-                Way::PassedOver => self.ledgers[node].refuse(&id, now),
+                Way::PassedOver => self.ledgers[node].record_rejection(&id, now),
                 _ => {
-                    self.backoffs[node].put(&id, None, SPAN, now);
+                    self.backoffs[node].insert(&id, None, SPAN, now);
                 }
             }
             let first = self.asked.entry((node, epoch)).or_insert((now, 0));
--- a/crates/node/src/attempt.rs
+++ b/crates/node/src/attempt.rs
@@ -202,13 +202,13 @@
     let opened = Channel::open(pick.address).await;
     let mut channel = opened.map_err(|error| {
         let mut ledger = node.ledger.lock();
-        ledger.blame(&pick.id, node.now());
+        ledger.record_failure(&pick.id, node.now());
         if error.is_timeout() {
-            ledger.note_unreached(&pick.hall, node.now());
+            ledger.record_connect_timeout(&pick.hall, node.now());
         }
         AttemptError::Unreached(error.to_string())
     })?;
-    node.ledger.lock().note_reached(&pick.hall);
+    node.ledger.lock().record_connect(&pick.hall);
     // Of many requests under way when it says so, those that have not reached it stay here.
     if backoff::is_unwilling(node, &pick.id, pick.life) {
         return Err(AttemptError::Unreached("it wants no requests at present".to_owned()));
@@ -218,7 +218,7 @@
     let response = match channel.send(request).await {
         Ok(response) => response,
         Err(error @ (ChannelError::Broken(_) | ChannelError::Connect(_))) => {
-            node.ledger.lock().blame(&pick.id, node.now());
+            node.ledger.lock().record_failure(&pick.id, node.now());
             return Err(AttemptError::Broken(error.to_string()));
         }
     };
@@ -236,13 +236,13 @@
         Verdict::Ran => Ok(attempt),
         Verdict::TurnedAway => {
             if backoff.is_none() {
-                node.ledger.lock().refuse(&pick.id, node.now());
+                node.ledger.lock().record_rejection(&pick.id, node.now());
             }
             Err(AttemptError::Full(backoff))
         }
         Verdict::NotRun => Err(AttemptError::NotRun(format!("it answered {status}"))),
         Verdict::Foreign => {
-            node.ledger.lock().blame(&pick.id, node.now());
+            node.ledger.lock().record_failure(&pick.id, node.now());
             Err(AttemptError::MayHaveRun(format!("it answered {status} to another request")))
         }
         Verdict::Unclear => {
--- a/crates/node/src/candidates.rs
+++ b/crates/node/src/candidates.rs
@@ -2,10 +2,10 @@
 
 use cottoncrank::{Millis, id};
 use cottoncrank_fleet::balance;
+use cottoncrank_fleet::feedback::Admission;
 use cottoncrank_fleet::rate::Rate;
 use cottoncrank_fleet::roster::Roster;
 use cottoncrank_fleet::runner::{Epoch, Runner};
-use cottoncrank_fleet::said::Admission;
 use cottoncrank_fleet::trials::Takers;
 
 use crate::answer::Refusal;
@@ -32,13 +32,13 @@
 ) -> Vec<&'a Runner> {
     let (mut candidates, now) = (list_candidates(node, roster, job), node.now());
     let said = node.said.lock();
-    candidates.retain(|runner| admits(said.ask(&runner.id, runner.life, now)));
+    candidates.retain(|runner| admits(said.find_admission(&runner.id, runner.life, now)));
     candidates
 }
 
 /// Those that want requests from this node.
 fn list_willing<'a>(node: &Node, roster: &'a Roster, job: &Job) -> Vec<&'a Runner> {
-    list_admitted(node, roster, job, |admission| !matches!(admission, Admission::Closed(_)))
+    list_admitted(node, roster, job, |admission| !matches!(admission, Admission::BackingOff(_)))
 }
 
 /// Those that take as many requests as there are. The others have named a rate for all nodes
@@ -61,10 +61,10 @@
     let candidates = list_willing(node, &roster, job);
     let (ledger, said) = (node.ledger.lock(), node.said.lock());
     let usable =
-        candidates.into_iter().filter(|runner| !tried.contains(&runner.id) && ledger.is_sound(runner, now));
-    let rated = usable.filter_map(|runner| match said.ask(&runner.id, runner.life, now) {
-        Admission::Rated(rate) => Some((runner.id.clone(), rate)),
-        Admission::Open | Admission::Closed(_) => None,
+        candidates.into_iter().filter(|runner| !tried.contains(&runner.id) && ledger.is_healthy(runner, now));
+    let rated = usable.filter_map(|runner| match said.find_admission(&runner.id, runner.life, now) {
+        Admission::RateLimited(rate) => Some((runner.id.clone(), rate)),
+        Admission::Open | Admission::BackingOff(_) => None,
     });
     rated.collect()
 }
@@ -88,9 +88,9 @@
     let roster = node.roster.lock();
     let candidates = list_candidates(node, &roster, job);
     let said = node.said.lock();
-    let ends = candidates.iter().map(|runner| match said.ask(&runner.id, runner.life, now) {
-        Admission::Closed(until) => Some(until),
-        Admission::Open | Admission::Rated(_) => None,
+    let ends = candidates.iter().map(|runner| match said.find_admission(&runner.id, runner.life, now) {
+        Admission::BackingOff(until) => Some(until),
+        Admission::Open | Admission::RateLimited(_) => None,
     });
     let first = ends.collect::<Option<Vec<Millis>>>()?.into_iter().min()?;
     Some(Refusal::Backoff { wait: first.since(now), patience: job.patience(now) })
@@ -103,7 +103,7 @@
         let roster = node.roster.lock();
         let candidates = list_willing(node, &roster, job);
         let ledger = node.ledger.lock();
-        candidates.into_iter().filter(|runner| ledger.is_sound(runner, now)).count()
+        candidates.into_iter().filter(|runner| ledger.is_healthy(runner, now)).count()
     };
     let (service, model) = job.lane();
     node.usual.lock().note(&service, model.as_ref(), sound, now)
@@ -124,7 +124,7 @@
     let candidates = list_willing(node, &roster, job);
     let head =
         candidates.into_iter().find(|head| head.membership.as_ref().is_some_and(|p| p.epoch == epoch))?;
-    let sound = node.ledger.lock().is_sound(head, node.now()) && !tried.contains(&head.id);
+    let sound = node.ledger.lock().is_healthy(head, node.now()) && !tried.contains(&head.id);
     sound.then(|| write_pick(node, job, head))
 }
 
--- a/crates/node/src/collect.rs
+++ b/crates/node/src/collect.rs
@@ -6,7 +6,7 @@
 
 use cottoncrank::{Millis, id};
 use cottoncrank_fleet::directory::Peer;
-use cottoncrank_fleet::occupancy::{Reply, Report, Scope, Sum};
+use cottoncrank_fleet::occupancy::{InFlight, Report, ReportReply, Scope};
 use cottoncrank_net::client::{Client, Traffic};
 use tokio::task::JoinSet;
 
@@ -48,7 +48,7 @@
                 let told = tell(&node, &client, &collector).await;
                 if told.is_ok() {
                     node.presence.lock().resign();
-                    node.pool.lock().resign();
+                    node.pool.lock().reset();
                 }
                 told.err().into_iter().collect()
             }
@@ -92,8 +92,8 @@
     let told = peer::report(node, client, collector, &report, ANSWER).await;
     match told {
         Ok(reply) => {
-            news::take(node, &reply.news, Scope::Hall);
-            put_view(node, reply.sum, asked);
+            news::take(node, &reply.feedback, Scope::Hall);
+            put_view(node, reply.in_flight, asked);
             Ok(())
         }
         Err(error) => {
@@ -123,57 +123,57 @@
         });
     }
     let outcomes = telling.join_all().await;
-    put_view(node, sum_others(node, &Sum::default(), Scope::Node), asked);
+    put_view(node, sum_others(node, &InFlight::default(), Scope::Node), asked);
     outcomes.into_iter().filter_map(Result::err).collect()
 }
 
-fn put_view(node: &Node, others: Sum, asked: Millis) {
+fn put_view(node: &Node, others: InFlight, asked: Millis) {
     let known = node.directory.lock().count();
-    node.view.lock().put(others, known, asked);
+    node.view.lock().update(others, known, asked);
 }
 
 /// What this node tells a collector.
-pub fn write_report(node: &Node, scope: Scope, sum: Sum) -> Report {
+pub fn write_report(node: &Node, scope: Scope, sum: InFlight) -> Report {
     let settings = node.settings();
     let doubted = node.list_doubted();
     Report {
         node: settings.node.clone(),
         hall: settings.hall.clone(),
         scope,
-        sum,
+        in_flight: sum,
         doubted,
-        news: news::tell(node, scope),
-        wants: throttle::list_wants(node, scope),
+        feedback: news::tell(node, scope),
+        demands: throttle::list_wants(node, scope),
     }
 }
 
 /// Takes a report in. Returns what its sender is not told by others: a node what
 /// all others have in flight, a collector what this hall has.
-pub fn take(node: &Node, report: Report) -> Reply {
-    let (scope, own) = (report.scope, report.sum.clone());
+pub fn take(node: &Node, report: Report) -> ReportReply {
+    let (scope, own) = (report.scope, report.in_flight.clone());
     note(node, report);
     let mut sum = sum_others(node, &node.sum_in_flight(), scope);
     if scope == Scope::Node {
         sum.subtract(&own);
     }
-    Reply { sum, news: news::answer(node, scope) }
+    ReportReply { in_flight: sum, feedback: news::answer(node, scope) }
 }
 
 /// Keeps what a report says.
 pub fn note(node: &Node, report: Report) {
     let now = node.now();
-    news::take(node, &report.news, report.scope);
+    news::take(node, &report.feedback, report.scope);
     match report.scope {
         Scope::Node => node.presence.lock().hear(&report.node, now),
         Scope::Hall => {
             node.presence.lock().hear_hall(&report.hall, now);
-            node.rations.lock().hear(&report.hall, &report.wants);
+            node.rations.lock().receive_demands(&report.hall, &report.demands);
         }
     }
-    node.reports.lock().put(report, now);
+    node.reports.lock().insert(report, now);
 }
 
-fn sum_others(node: &Node, own: &Sum, scope: Scope) -> Sum {
+fn sum_others(node: &Node, own: &InFlight, scope: Scope) -> InFlight {
     let (reports, now) = (node.reports.lock(), node.now());
     let mut sum = reports.sum_hall(own, now);
     if scope == Scope::Node {
--- a/crates/node/src/dispatch.rs
+++ b/crates/node/src/dispatch.rs
@@ -4,9 +4,9 @@
 
 use cottoncrank::{Millis, id};
 use cottoncrank_fleet::directory::Peer;
-use cottoncrank_fleet::dispatch::{Choice, Chosen, Promise, Question, Reply, Sample, Urgency};
+use cottoncrank_fleet::dispatch::{Assignment, Candidates, Query, Reply, Sample, Selection, Urgency};
 use cottoncrank_fleet::occupancy::Load;
-use cottoncrank_fleet::occupancy::{COVERED, Scope};
+use cottoncrank_fleet::occupancy::{MIN_COVERAGE, Scope};
 use cottoncrank_fleet::runner::Epoch;
 use cottoncrank_fleet::trials::Ruling;
 
@@ -28,12 +28,12 @@
 const SAMPLES: usize = 32;
 
 /// Notes how long the first event of a request took that went where it was told to.
-pub fn note_first(node: &Node, job: &Job, promise: Promise, took: Millis) {
+pub fn note_first(node: &Node, job: &Job, promise: Assignment, took: Millis) {
     let (service, Some(model)) = job.lane() else { return };
     let later = took.0 as i64 - promise.expected as i64;
     let mut samples = node.samples.lock();
     if samples.len() < SAMPLES {
-        samples.push(Sample { service, model, later });
+        samples.push(Sample { service, model, lateness: later });
     }
 }
 
@@ -42,15 +42,15 @@
 pub async fn ask(node: &Arc<Node>, job: &Job, urgency: Urgency, tried: &[id::Runner]) -> Option<Reply> {
     let (_, model) = job.lane();
     let settings = node.settings();
-    let question = Question {
+    let question = Query {
         report: write_report(node, Scope::Node, node.sum_in_flight()),
         service: job.service.clone(),
         model: model?,
         prompt: job.terms.prompt.unwrap_or(0),
         urgency,
-        patience: job.patience(node.now()),
+        remaining_time: job.patience(node.now()),
         tried: list_epochs(node, tried),
-        unwilling: node.list_unwilling(),
+        backing_off: node.list_unwilling(),
         fingerprint: job.fingerprint,
         samples: std::mem::take(&mut *node.samples.lock()),
     };
@@ -88,11 +88,11 @@
 }
 
 /// As the collector, takes in what the asking node has in flight and chooses a group.
-pub fn take(node: &Node, question: Question) -> Reply {
+pub fn take(node: &Node, question: Query) -> Reply {
     collect::note(node, question.report.clone());
     let reply = choose(node, &question);
-    if let Reply::Take(promise) = reply {
-        node.reports.lock().begin(&question.report.node, promise.epoch);
+    if let Reply::Assigned(promise) = reply {
+        node.reports.lock().begin_request(&question.report.node, promise.epoch);
     }
     reply
 }
@@ -103,15 +103,15 @@
     let directory = node.directory.lock();
     let reports = node.reports.lock();
     let nodes = directory.list_collectors(hall).len();
-    if ((reports.count_nodes(now) + 1) as f64) < COVERED * nodes as f64 {
+    if ((reports.count_nodes(now) + 1) as f64) < MIN_COVERAGE * nodes as f64 {
         return None;
     }
     let others = directory.list_halls().into_iter().filter(|other| *other != hall);
-    Some(others.filter(|other| !reports.hears(other, now)).cloned().collect())
+    Some(others.filter(|other| !reports.has_report_from(other, now)).cloned().collect())
 }
 
-fn choose(node: &Node, question: &Question) -> Reply {
-    if question.urgency != Urgency::Again {
+fn choose(node: &Node, question: &Query) -> Reply {
+    if question.urgency != Urgency::Retry {
         retries::earn_pooled(node);
     }
     let Some(catalog) = node.catalog.lock().clone() else { return Reply::Unknown };
@@ -128,44 +128,44 @@
     let loads = node.reports.lock().sum_loads(&own, now);
     let sound = {
         let ledger = node.ledger.lock();
-        heads.iter().filter(|head| ledger.is_sound(head, now) && question.is_welcome_at(head)).count()
+        heads.iter().filter(|head| ledger.is_healthy(head, now) && question.allows_head(head)).count()
     };
     let ruling = rule(node, question, sound, now);
     let trials = match ruling {
         Ruling::Run => Vec::new(),
         Ruling::Trial => node.trials.lock().list_groups(&question.fingerprint, now),
-        Ruling::Hold => return Reply::Held,
+        Ruling::Hold => return Reply::Quarantined,
         Ruling::Refuse => return Reply::Deadly,
     };
     let limited = throttle::list_limited(node, &heads, now);
-    let choice = Choice {
+    let choice = Candidates {
         hall: &settings.hall,
-        silent: &silent,
+        silent_halls: &silent,
         heads: &heads,
         model,
         speed: &engine.speed,
-        trials: &trials,
-        spent: &limited.spent,
+        trial_groups: &trials,
+        rate_limited: &limited.spent,
     };
     let load = |epoch: Epoch| loads.get(&epoch).copied().unwrap_or(Load::default());
     let mut dispatcher = node.dispatcher.lock();
     for sample in &question.samples {
-        dispatcher.learn(sample);
+        dispatcher.record_sample(sample);
     }
-    let Chosen { reply, best } = dispatcher.choose(&choice, question, load, now, &mut rand::rng());
+    let Selection { reply, best } = dispatcher.choose(&choice, question, load, now, &mut rand::rng());
     throttle::note_choice(node, &heads, reply, best, now);
     if let Reply::Throttled(soonest) = reply {
         let wait = throttle::plan_return(node, question, &limited, now);
         return Reply::Throttled(wait.map_or(soonest, |wait| wait.0));
     }
-    if let (Ruling::Trial, Reply::Take(promise)) = (ruling, reply) {
+    if let (Ruling::Trial, Reply::Assigned(promise)) = (ruling, reply) {
         node.trials.lock().begin(question.fingerprint, Some(promise.epoch), now);
     }
     reply
 }
 
 /// What becomes of a request that a node asks for, as far as this hall knows.
-fn rule(node: &Node, question: &Question, groups: usize, now: Millis) -> Ruling {
+fn rule(node: &Node, question: &Query, groups: usize, now: Millis) -> Ruling {
     let takers = node.usual.lock().note(&question.service, Some(&question.model), groups, now);
     let level = node.suspects.lock().level(&question.fingerprint);
     let mut trials = node.trials.lock();
--- a/crates/node/src/flight.rs
+++ b/crates/node/src/flight.rs
@@ -66,7 +66,7 @@
 
     /// Counts a request at a runner until the guard is dropped.
     pub fn begin_attempt(self: &Arc<Self>, runner: &id::Runner) -> Attempting {
-        self.ledger.lock().begin(runner);
+        self.ledger.lock().begin_request(runner);
         Attempting { node: self.clone(), runner: runner.clone(), begun: false }
     }
 }
@@ -97,8 +97,8 @@
         let mut limits = self.node.limits.lock();
         let limit = limits.entry(self.lane.clone()).or_default();
         match in_time {
-            true => limit.note_in_time(),
-            false => limit.note_late(self.node.now()),
+            true => limit.record_on_time(),
+            false => limit.record_late(self.node.now()),
         }
     }
 }
@@ -136,7 +136,7 @@
         if self.begun {
             ledger.end_stream(&self.runner);
         }
-        ledger.end(&self.runner);
+        ledger.end_request(&self.runner);
         self.node.flight_ended.notify_one();
     }
 }
--- a/crates/node/src/news.rs
+++ b/crates/node/src/news.rs
@@ -4,56 +4,56 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use cottoncrank::id;
+use cottoncrank_fleet::feedback::{Admission, Digest, LeavingRunner};
 use cottoncrank_fleet::occupancy::Scope;
 use cottoncrank_fleet::rate::Rate;
-use cottoncrank_fleet::said::{Admission, Leaving, News};
 
 use crate::state::Node;
 use crate::throttle;
 
 /// What this node tells a collector, as one node or for its hall.
-pub(crate) fn tell(node: &Node, scope: Scope) -> News {
+pub(crate) fn tell(node: &Node, scope: Scope) -> Digest {
     let now = node.now();
     let mut refusing = list_refusing(node);
     if scope == Scope::Hall {
-        refusing.extend(node.refusals.lock().list_here(now).cloned());
+        refusing.extend(node.refusals.lock().list_local(now).cloned());
     }
-    News {
-        claims: throttle::list_claims(node, scope),
+    Digest {
+        rate_limits: throttle::list_claims(node, scope),
         leaving: node.roster.lock().list_leaving(),
-        refusing: refusing.into_iter().collect(),
+        rejecting: refusing.into_iter().collect(),
     }
 }
 
 /// What this node, as a collector, tells who reports to it. A collector of another hall is told in
 /// a report of this one.
-pub(crate) fn answer(node: &Node, scope: Scope) -> News {
+pub(crate) fn answer(node: &Node, scope: Scope) -> Digest {
     match scope {
-        Scope::Node => News {
-            claims: throttle::list_plain_claims(node),
+        Scope::Node => Digest {
+            rate_limits: throttle::list_plain_claims(node),
             leaving: node.roster.lock().list_leaving(),
-            refusing: node.refusals.lock().list(node.now()).cloned().collect(),
+            rejecting: node.refusals.lock().list(node.now()).cloned().collect(),
         },
-        Scope::Hall => News::default(),
+        Scope::Hall => Digest::default(),
     }
 }
 
 /// Takes in what another node tells: a node of this hall, or one that speaks for others.
-pub(crate) fn take(node: &Node, news: &News, scope: Scope) {
-    throttle::take_claims(node, &news.claims);
-    for Leaving { runner, life } in &news.leaving {
+pub(crate) fn take(node: &Node, news: &Digest, scope: Scope) {
+    throttle::take_claims(node, &news.rate_limits);
+    for LeavingRunner { runner, incarnation: life } in &news.leaving {
         node.note_leaving(runner, *life);
     }
     let (mut refusals, now) = (node.refusals.lock(), node.now());
-    for runner in &news.refusing {
-        refusals.note(runner, scope == Scope::Node, now);
+    for runner in &news.rejecting {
+        refusals.record(runner, scope == Scope::Node, now);
     }
 }
 
 /// The runners that turn requests of this node away without a word on for how long. Those that
 /// ask for a rest get it: another head would take it from their group.
 fn list_refusing(node: &Node) -> BTreeSet<id::Runner> {
-    node.ledger.lock().list_refusing(node.now()).cloned().collect()
+    node.ledger.lock().list_rejecting(node.now()).cloned().collect()
 }
 
 /// The runners that have turned requests away for a while, as far as this node knows.
@@ -61,9 +61,9 @@
     let own = list_refusing(node);
     let (mut refusals, now) = (node.refusals.lock(), node.now());
     for runner in &own {
-        refusals.note(runner, true, now);
+        refusals.record(runner, true, now);
     }
-    refusals.list_lasting(now).cloned().collect()
+    refusals.list_persistent(now).cloned().collect()
 }
 
 /// How many runners of a hall say what, as this node knows.
@@ -86,10 +86,10 @@
     for runner in roster.iter() {
         let pressure = halls.entry(runner.hall.clone()).or_default();
         pressure.leaving += usize::from(runner.draining);
-        match said.ask(&runner.id, runner.life, now) {
+        match said.find_admission(&runner.id, runner.life, now) {
             Admission::Open => {}
-            Admission::Closed(_) => pressure.unwilling += 1,
-            Admission::Rated(rate) => {
+            Admission::BackingOff(_) => pressure.unwilling += 1,
+            Admission::RateLimited(rate) => {
                 pressure.limited += 1;
                 pressure.allowed.0 += rate.0;
             }
--- a/crates/node/src/peer.rs
+++ b/crates/node/src/peer.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use cottoncrank::Millis;
 use cottoncrank_fleet::directory::Peer;
-use cottoncrank_fleet::dispatch::{Question, Reply};
+use cottoncrank_fleet::dispatch::{Query, Reply};
 use cottoncrank_fleet::occupancy::{self, Report, Scope};
 use cottoncrank_fleet::position::Position;
 use cottoncrank_net::client::{CallError, Client};
@@ -111,17 +111,12 @@
     to: &Peer,
     report: &Report,
     wait: Millis,
-) -> Result<occupancy::Reply, CallError> {
+) -> Result<occupancy::ReportReply, CallError> {
     suspects::exchange(node, client, to, REPORT_PATH, report, wait).await
 }
 
 /// Asks the collector of the hall which group takes a request.
-pub async fn ask_group(
-    node: &Node,
-    to: &Peer,
-    question: &Question,
-    wait: Millis,
-) -> Result<Reply, CallError> {
+pub async fn ask_group(node: &Node, to: &Peer, question: &Query, wait: Millis) -> Result<Reply, CallError> {
     suspects::exchange(node, &node.client, to, GROUP_PATH, question, wait).await
 }
 
@@ -190,7 +185,7 @@
             return reply_encoded(&suspects::Reply { answer: collect::take(node, question), pull });
         }
     } else if path == GROUP_PATH {
-        if let Ok(Letter { question, push }) = rmp_serde::from_slice::<Letter<Question>>(&bytes) {
+        if let Ok(Letter { question, push }) = rmp_serde::from_slice::<Letter<Query>>(&bytes) {
             let pull = suspects::answer(node, &push, Scope::Node);
             return reply_encoded(&suspects::Reply { answer: dispatch::take(node, question), pull });
         }
--- a/crates/node/src/plain.rs
+++ b/crates/node/src/plain.rs
@@ -104,10 +104,10 @@
     let (head, body) = attempt.response.into_parts();
     let collected = Limited::new(body, ANSWER_MAX).collect().await;
     let bytes = collected.map_err(|error| {
-        node.ledger.lock().blame(&attempt.pick.id, node.now());
+        node.ledger.lock().record_failure(&attempt.pick.id, node.now());
         AttemptError::Broken(format!("its answer broke off: {error}"))
     })?;
-    node.ledger.lock().progress(&attempt.pick.id, node.now());
+    node.ledger.lock().record_progress(&attempt.pick.id, node.now());
     Ok(pass_on(head.status, &head.headers, bytes.to_bytes()))
 }
 
--- a/crates/node/src/relay.rs
+++ b/crates/node/src/relay.rs
@@ -92,7 +92,7 @@
             return;
         }
         self.paused = true;
-        let last = self.source.splitter.last().map_or("-".to_owned(), |last| last.to_string());
+        let last = self.source.splitter.last_id().map_or("-".to_owned(), |last| last.to_string());
         let runner = &self.source.pick.id;
         log::info!(
             "request {}: late: {pause} without an event before event {last} of {runner}",
@@ -106,7 +106,7 @@
         let next = tokio::time::timeout(PATIENCE.duration(), read_next(&self.node, &mut self.source));
         tokio::select! {
             next = next => next.unwrap_or_else(|_| {
-                self.node.ledger.lock().blame(&pick.id, self.node.now());
+                self.node.ledger.lock().record_failure(&pick.id, self.node.now());
                 Err(AttemptError::Silent(format!("no event for {PATIENCE}")))
             }),
             () = wait_deadly(&self.node, &self.job) => Err(AttemptError::Stopped),
@@ -119,7 +119,7 @@
     /// Takes the stream up at another runner.
     async fn go_on(&mut self, error: &AttemptError) -> Result<(), Refusal> {
         self.tries.note(&self.node, &self.job, error).await;
-        let last = self.source.splitter.last();
+        let last = self.source.splitter.last_id();
         loop {
             let attempt = next_attempt(&self.node, &self.job, &mut self.tries, last).await?;
             if !attempt.response.status().is_success() {
--- a/crates/node/src/retries.rs
+++ b/crates/node/src/retries.rs
@@ -38,8 +38,8 @@
 pub(crate) fn take_share(node: &Node) {
     let share = share(node);
     let mut retries = node.retries.lock();
-    retries.set_ratio(earned(node) * share.part());
-    retries.set_full(share.own);
+    retries.set_ratio(earned(node) * share.budget_fraction());
+    retries.set_full(share.budget);
 }
 
 /// As the collector, keeps what is left over of the shares of the nodes that report to this one.
@@ -47,18 +47,18 @@
     let now = node.now();
     let nodes = node.reports.lock().count_nodes(now) + 1;
     let window = node.settings().bounds.retry_window;
-    node.pool.lock().keep(share(node).left * nodes as f64, window, now);
+    node.pool.lock().set_capacity(share(node).pooled * nodes as f64, window, now);
 }
 
 /// As the collector, takes in that a request of its hall has come.
 pub(crate) fn earn_pooled(node: &Node) {
-    let part = earned(node) * (1.0 - share(node).part());
-    node.pool.lock().earn(part);
+    let part = earned(node) * (1.0 - share(node).budget_fraction());
+    node.pool.lock().deposit(part);
 }
 
 /// As the collector, lends a retry.
 pub(crate) fn lend(node: &Node, loan: &Loan) -> bool {
-    let lent = node.pool.lock().lend();
+    let lent = node.pool.lock().grant();
     if !lent {
         log::info!("retries: {} gets none, all of the hall are spent", loan.node);
     }
--- a/crates/node/src/source.rs
+++ b/crates/node/src/source.rs
@@ -42,7 +42,7 @@
     /// The body of an answer, to be passed on after event `last`. Returns the head as well.
     pub fn open(attempt: Attempt, last: Option<u64>) -> (response::Parts, Source) {
         let (head, body) = Response::into_parts(attempt.response);
-        let splitter = Splitter::after(last);
+        let splitter = Splitter::resume_after(last);
         let (pick, counted) = (attempt.pick, attempt.counted);
         (head, Source { pick, body, splitter, _channel: attempt.channel, counted })
     }
@@ -72,8 +72,8 @@
             () = &mut deadly => return Err(AttemptError::Stopped),
             () = tokio::time::sleep(PATIENCE.duration()) => {
                 let mut ledger = node.ledger.lock();
-                if job.route.is_repeatable() && ledger.is_silent(&pick.id, started) {
-                    ledger.blame(&pick.id, node.now());
+                if job.route.is_repeatable() && ledger.is_silent_since(&pick.id, started) {
+                    ledger.record_failure(&pick.id, node.now());
                     return Err(AttemptError::Silent(format!("silent for {PATIENCE}")));
                 }
             }
@@ -100,7 +100,7 @@
             None => return Err(AttemptError::Broken("the stream ended within an event".to_owned())),
         };
         let Ok(piece) = frame.into_data() else { continue };
-        node.ledger.lock().progress(&source.pick.id, node.now());
+        node.ledger.lock().record_progress(&source.pick.id, node.now());
         source.counted.begin_stream();
         let events =
             source.splitter.push(&piece).map_err(|error| AttemptError::MayHaveRun(error.to_string()))?;
--- a/crates/node/src/state.rs
+++ b/crates/node/src/state.rs
@@ -8,25 +8,25 @@
 use cottoncrank::clock::System;
 use cottoncrank::retry::Budget;
 use cottoncrank::{Clock, Millis, id};
-use cottoncrank_fleet::apportion::{Alone, Rations, Returns};
+use cottoncrank_fleet::allocation::{Allocations, LocalBuckets, RetrySchedule};
 use cottoncrank_fleet::balance::Ledger;
 use cottoncrank_fleet::breaks::Breaks;
 use cottoncrank_fleet::catalog::Catalog;
 use cottoncrank_fleet::directory::Directory;
 use cottoncrank_fleet::dispatch::{Dispatcher, Sample};
+use cottoncrank_fleet::feedback::Feedback;
 use cottoncrank_fleet::freshness::Freshness;
 use cottoncrank_fleet::gossip::Book;
 use cottoncrank_fleet::halt::Halts;
 use cottoncrank_fleet::limit::Limit;
-use cottoncrank_fleet::occupancy::{self, Counts, Sum, View};
+use cottoncrank_fleet::occupancy::{self, Counts, FleetLoad, InFlight};
 use cottoncrank_fleet::plan::Plans;
 use cottoncrank_fleet::position::Position;
 use cottoncrank_fleet::presence::Presence;
-use cottoncrank_fleet::refusals;
+use cottoncrank_fleet::rejections;
 use cottoncrank_fleet::retries::Pool;
 use cottoncrank_fleet::roster::{Notice, Roster};
 use cottoncrank_fleet::runner::{Epoch, Life, Runner};
-use cottoncrank_fleet::said::Said;
 use cottoncrank_fleet::settings::Settings;
 use cottoncrank_fleet::suspects::{Origin, Table};
 use cottoncrank_fleet::trials::{Trials, Usual};
@@ -92,17 +92,17 @@
     /// What was seen of the runners.
     pub ledger: Mutex<Ledger>,
     /// What runners have said of themselves.
-    pub(crate) said: Mutex<Said>,
+    pub(crate) said: Mutex<Feedback>,
     /// Runners that turn requests away, as nodes tell each other.
-    pub(crate) refusals: Mutex<refusals::Table>,
+    pub(crate) refusals: Mutex<rejections::Table>,
     /// As the collector of its hall, what the hall may send to runners that name a rate.
-    pub(crate) rations: Mutex<Rations>,
+    pub(crate) rations: Mutex<Allocations>,
     /// As the collector, when callers that found no place with them come back.
-    pub(crate) returns: Mutex<Returns>,
+    pub(crate) returns: Mutex<RetrySchedule>,
     /// What this node may send them while no collector answers.
-    pub(crate) alone: Mutex<Alone>,
+    pub(crate) alone: Mutex<LocalBuckets>,
     /// What the others have in flight, as this node was last told.
-    pub view: Mutex<View>,
+    pub view: Mutex<FleetLoad>,
     /// As the collector of its hall, chooses groups for requests.
     pub dispatcher: Mutex<Dispatcher>,
     /// First events that the collector was not told of yet.
@@ -337,7 +337,7 @@
     fn notice_restart(&self, id: &id::Runner, life: Life) {
         log::info!("roster: {id} has started again, its life is now {life}");
         metrics::counter!("cottoncrank_runners_restarted_total").increment(1);
-        self.ledger.lock().restart(id);
+        self.ledger.lock().record_restart(id);
         let ended = self.breaks.lock().take_former(id, life, self.now());
         suspects::take(self, &ended, Origin::Hall);
     }
@@ -371,10 +371,10 @@
     }
 
     /// The requests of this node in flight at each group.
-    pub fn sum_in_flight(&self) -> Sum {
+    pub fn sum_in_flight(&self) -> InFlight {
         let (roster, ledger) = (self.roster.lock(), self.ledger.lock());
         let busy = ledger.list_busy();
-        Sum::of_node(busy.filter_map(|(id, count)| Some((find_epoch(&roster, id)?, count))).collect())
+        InFlight::for_node(busy.filter_map(|(id, count)| Some((find_epoch(&roster, id)?, count))).collect())
     }
 
     /// The requests of all nodes in flight at each group, if enough of them tell.
@@ -384,7 +384,7 @@
         if !view.is_usable(self.now()) {
             return None;
         }
-        for (epoch, count) in view.list() {
+        for (epoch, count) in view.counts() {
             *own.entry(*epoch).or_default() += count;
         }
         Some(own)
@@ -404,7 +404,7 @@
     pub(crate) fn list_unwilling(&self) -> Vec<Epoch> {
         let (roster, ledger) = (self.roster.lock(), self.ledger.lock());
         let said = self.said.lock();
-        let unwilling = said.backoffs.list(self.now()).chain(ledger.list_refusing(self.now()));
+        let unwilling = said.backoffs.list(self.now()).chain(ledger.list_rejecting(self.now()));
         unwilling.filter_map(|id| find_epoch(&roster, id)).collect()
     }
 }
--- a/crates/node/src/throttle.rs
+++ b/crates/node/src/throttle.rs
@@ -6,12 +6,12 @@
 use std::sync::Arc;
 
 use cottoncrank::{Millis, id};
-use cottoncrank_fleet::apportion::{Caller, Halls, Neighbor, Outlook, Want};
-use cottoncrank_fleet::dispatch::{Question, Reply};
+use cottoncrank_fleet::allocation::{Availability, Caller, Demand, Halls, OtherHall};
+use cottoncrank_fleet::dispatch::{Query, Reply};
 use cottoncrank_fleet::occupancy::Scope;
 use cottoncrank_fleet::rate::Rate;
 use cottoncrank_fleet::runner::{Epoch, Runner};
-use cottoncrank_fleet::throttle::{Change, Claim, Told};
+use cottoncrank_fleet::throttle::{Change, Message, RateLimit};
 use cottoncrank_platform::header;
 use hyper::header::HeaderMap;
 use serde::{Deserialize, Serialize};
@@ -38,7 +38,7 @@
     refused: bool,
     patience: Option<Millis>,
     /// What they said, as far as this node has heard it.
-    claims: Vec<Told>,
+    claims: Vec<Message>,
 }
 
 impl Plea {
@@ -55,7 +55,7 @@
     /// There is none, and the next one is so far away.
     Wait(Millis),
     /// They take all requests again, as this says.
-    Free(Vec<Told>),
+    Free(Vec<Message>),
 }
 
 /// Reads from an answer to a request sent at `asked` how many requests a second its runner takes.
@@ -68,18 +68,22 @@
         }
     };
     let heard = node.now();
-    put(node, Claim { runner: pick.id.clone(), life: pick.life, rate, asked, heard }, "says");
+    put(
+        node,
+        RateLimit { runner: pick.id.clone(), incarnation: pick.life, rate, sent: asked, received: heard },
+        "says",
+    );
     if rate.is_some() {
         figures::count_limited(&pick.hall);
     }
 }
 
-fn put(node: &Node, claim: Claim, how: &str) {
+fn put(node: &Node, claim: RateLimit, how: &str) {
     let runner = claim.runner.clone();
-    let change = node.said.lock().throttles.put(claim);
+    let change = node.said.lock().rate_limits.apply(claim);
     match change {
         Change::None => {}
-        Change::Named(rate) => {
+        Change::Set(rate) => {
             log::info!("throttle: {runner} {how} that it takes {rate} from all nodes together")
         }
         Change::Withdrawn => log::info!("throttle: {runner} {how} that it takes all requests again"),
@@ -87,57 +91,62 @@
 }
 
 /// Takes in what another node tells.
-pub(crate) fn take_claims(node: &Node, claims: &[Told]) {
+pub(crate) fn take_claims(node: &Node, claims: &[Message]) {
     for told in claims {
-        put(node, told.read(node.now()), "is told to say");
+        put(node, told.to_rate_limit(node.now()), "is told to say");
     }
 }
 
 /// Forgets runners that are gone.
 pub(crate) fn forget(node: &Node) {
     let roster = node.roster.lock();
-    let throttles = &mut node.said.lock().throttles;
+    let throttles = &mut node.said.lock().rate_limits;
     throttles.retain(|id| roster.recall(id).is_some());
     node.rations.lock().retain(|id| throttles.find(id, None).is_some());
 }
 
 /// What this node tells a collector of what runners said of their rates: to it lately, or to any
 /// of its hall.
-pub(crate) fn list_claims(node: &Node, scope: Scope) -> Vec<Told> {
+pub(crate) fn list_claims(node: &Node, scope: Scope) -> Vec<Message> {
     let now = node.now();
-    let throttles = &node.said.lock().throttles;
-    let told = throttles.iter().filter(|claim| scope == Scope::Hall || now < claim.heard + RECENT);
-    told.map(|claim| claim.tell(now)).collect()
+    let throttles = &node.said.lock().rate_limits;
+    let told = throttles.iter().filter(|claim| scope == Scope::Hall || now < claim.received + RECENT);
+    told.map(|claim| claim.to_message(now)).collect()
 }
 
 /// The same, of plain runners alone: what a node of this hall has to know, for those it chooses
 /// by itself.
-pub(crate) fn list_plain_claims(node: &Node) -> Vec<Told> {
+pub(crate) fn list_plain_claims(node: &Node) -> Vec<Message> {
     let (roster, said, now) = (node.roster.lock(), node.said.lock(), node.now());
     let is_plain = |id: &id::Runner| roster.recall(id).is_some_and(|runner| runner.domain.is_none());
-    said.throttles.iter().filter(|claim| is_plain(&claim.runner)).map(|claim| claim.tell(now)).collect()
+    said.rate_limits
+        .iter()
+        .filter(|claim| is_plain(&claim.runner))
+        .map(|claim| claim.to_message(now))
+        .collect()
 }
 
 /// What this hall wants of runners that name a rate.
-pub(crate) fn list_wants(node: &Node, scope: Scope) -> Vec<Want> {
-    if scope == Scope::Node { Vec::new() } else { node.rations.lock().list_wants(node.now()) }
+pub(crate) fn list_wants(node: &Node, scope: Scope) -> Vec<Demand> {
+    if scope == Scope::Node { Vec::new() } else { node.rations.lock().list_demands(node.now()) }
 }
 
 /// What each of these runners takes from this hall, by the rate that it names.
-fn look(node: &Node, runners: &[(id::Runner, Rate)], now: Millis) -> Vec<Outlook> {
+fn look(node: &Node, runners: &[(id::Runner, Rate)], now: Millis) -> Vec<Availability> {
     let hall = &node.settings().hall;
     let (directory, reports) = (node.directory.lock(), node.reports.lock());
     let others = directory.list_halls().into_iter().filter(|other| *other != hall);
-    let others = others.map(|hall| Neighbor { hall, silent: !reports.hears(hall, now) }).collect();
+    let others =
+        others.map(|hall| OtherHall { hall, is_silent: !reports.has_report_from(hall, now) }).collect();
     let halls = Halls { own: hall, others };
     let mut rations = node.rations.lock();
-    runners.iter().map(|(runner, rate)| rations.look(runner, *rate, &halls, now)).collect()
+    runners.iter().map(|(runner, rate)| rations.check(runner, *rate, &halls, now)).collect()
 }
 
 /// What several runners take together: the soonest of all, and the sum of their parts.
-fn sum_up(outlooks: &[Outlook]) -> Option<Outlook> {
+fn sum_up(outlooks: &[Availability]) -> Option<Availability> {
     let wait = outlooks.iter().map(|outlook| outlook.wait).min()?;
-    Some(Outlook { wait, part: Rate(outlooks.iter().map(|outlook| outlook.part.0).sum()) })
+    Some(Availability { wait, rate: Rate(outlooks.iter().map(|outlook| outlook.rate.0).sum()) })
 }
 
 /// The groups of a choice whose heads name a rate.
@@ -146,13 +155,13 @@
     /// Those that get no request at present, and for how long.
     pub(crate) spent: Vec<(Epoch, Millis)>,
     /// What all of them take together.
-    outlook: Option<Outlook>,
+    outlook: Option<Availability>,
 }
 
 /// As the collector, the groups whose heads name a rate.
 pub(crate) fn list_limited(node: &Node, heads: &[&Runner], now: Millis) -> Limited {
     let (epochs, runners): (Vec<Epoch>, Vec<(id::Runner, Rate)>) = {
-        let throttles = &node.said.lock().throttles;
+        let throttles = &node.said.lock().rate_limits;
         let limited = heads.iter().filter_map(|head| {
             let rate = throttles.find(&head.id, head.life)?;
             Some((head.membership.as_ref()?.epoch, (head.id.clone(), rate)))
@@ -169,22 +178,20 @@
 }
 
 /// When a caller for whom there is no place comes back.
-pub(crate) fn plan_return(
-    node: &Node,
-    question: &Question,
-    limited: &Limited,
-    now: Millis,
-) -> Option<Millis> {
+pub(crate) fn plan_return(node: &Node, question: &Query, limited: &Limited, now: Millis) -> Option<Millis> {
     let outlook = limited.outlook?;
-    let caller =
-        Caller { service: &question.service, model: Some(&question.model), patience: question.patience };
-    Some(node.returns.lock().plan(&caller, outlook, now))
+    let caller = Caller {
+        service: &question.service,
+        model: Some(&question.model),
+        remaining_time: question.remaining_time,
+    };
+    Some(node.returns.lock().schedule(&caller, outlook, now))
 }
 
 /// As the collector, counts a choice at the head that it fell on, and at the one that would be
 /// best but for its rate.
 pub(crate) fn note_choice(node: &Node, heads: &[&Runner], reply: Reply, best: Option<Epoch>, now: Millis) {
-    let throttles = &node.said.lock().throttles;
+    let throttles = &node.said.lock().rate_limits;
     let find = |epoch: Epoch| {
         let is_meant = |head: &&&Runner| head.membership.as_ref().is_some_and(|place| place.epoch == epoch);
         let head = heads.iter().find(is_meant)?;
@@ -192,12 +199,12 @@
     };
     let mut rations = node.rations.lock();
     if let Some(best) = best.and_then(find) {
-        rations.want(best, now);
+        rations.record_demand(best, now);
     }
-    if let Reply::Take(promise) = reply
+    if let Reply::Assigned(promise) = reply
         && let Some(taken) = find(promise.epoch)
     {
-        rations.take(taken);
+        rations.spend(taken);
     }
 }
 
@@ -206,31 +213,33 @@
     take_claims(node, &plea.claims);
     let now = node.now();
     let runners: Vec<(id::Runner, Rate)> = {
-        let throttles = &node.said.lock().throttles;
+        let throttles = &node.said.lock().rate_limits;
         let limited = plea
             .claims
             .iter()
-            .filter_map(|told| Some((told.runner.clone(), throttles.find(&told.runner, told.life)?)));
+            .filter_map(|told| Some((told.runner.clone(), throttles.find(&told.runner, told.incarnation)?)));
         limited.collect()
     };
     if runners.is_empty() {
-        let (said, known) = (node.said.lock(), |claim: &&Claim| plea.names(&claim.runner));
-        return Place::Free(said.throttles.iter().filter(known).map(|claim| claim.tell(now)).collect());
+        let (said, known) = (node.said.lock(), |claim: &&RateLimit| plea.names(&claim.runner));
+        return Place::Free(
+            said.rate_limits.iter().filter(known).map(|claim| claim.to_message(now)).collect(),
+        );
     }
     let outlooks = look(node, &runners, now);
     let mut rations = node.rations.lock();
     for (runner, _) in &runners {
-        rations.want(runner, now);
+        rations.record_demand(runner, now);
     }
     let open = runners.iter().zip(&outlooks).find(|(_, outlook)| outlook.wait == Millis(0));
     if let Some(((runner, _), _)) = open {
-        rations.take(runner);
+        rations.spend(runner);
         return Place::Take(runner.clone());
     }
     let wait = sum_up(&outlooks).map(|all| match plea.refused {
         true => {
-            let caller = Caller { service: &plea.service, model: None, patience: plea.patience };
-            node.returns.lock().plan(&caller, all, now)
+            let caller = Caller { service: &plea.service, model: None, remaining_time: plea.patience };
+            node.returns.lock().schedule(&caller, all, now)
         }
         // Nobody comes back for it: its request goes to another runner.
         false => all.wait,
@@ -247,8 +256,8 @@
     }
     let claims = {
         let (said, now) = (node.said.lock(), node.now());
-        let asked = |claim: &&Claim| runners.iter().any(|(id, _)| *id == claim.runner);
-        said.throttles.iter().filter(asked).map(|claim| claim.tell(now)).collect()
+        let asked = |claim: &&RateLimit| runners.iter().any(|(id, _)| *id == claim.runner);
+        said.rate_limits.iter().filter(asked).map(|claim| claim.to_message(now)).collect()
     };
     let (refused, patience) = (!has_free(node, job, tried), job.patience(node.now()));
     let plea = Plea { service: job.service.clone(), refused, patience, claims };
@@ -271,7 +280,8 @@
     let runners = list_throttled(node, job, tried);
     let (nodes, now) = (node.directory.lock().count(), node.now());
     let mut alone = node.alone.lock();
-    let taken = runners.into_iter().find(|(id, rate)| alone.take(id, *rate, nodes, now, &mut rand::rng()));
+    let taken =
+        runners.into_iter().find(|(id, rate)| alone.try_spend(id, *rate, nodes, now, &mut rand::rng()));
     taken.map(|(id, _)| id)
 }
 
--- a/crates/node/tests/deadly.rs
+++ b/crates/node/tests/deadly.rs
@@ -158,7 +158,7 @@
         let sound = |running: &Running| {
             let (roster, ledger) = (running.node.roster.lock(), running.node.ledger.lock());
             let plain = roster.list_plain(&PLAIN.parse().unwrap());
-            plain.iter().filter(|runner| ledger.is_sound(runner, running.node.now())).count()
+            plain.iter().filter(|runner| ledger.is_healthy(runner, running.node.now())).count()
         };
         fleet.nodes.iter().all(|running| sound(running) == 2)
     };
