--- a/crates/fleet/src/allocation.rs
+++ b/crates/fleet/src/allocation.rs
@@ -1,11 +1,11 @@
-//! Sharing the rate that a runner takes among the halls, and keeping a hall's part.
+//! Divides the rate limit of a runner among the halls, and enforces a hall's share.
 //!
-//! The load this answers: a runner that takes two requests a second from all nodes together,
-//! before hundreds of nodes. The collector of a hall lets each request of its hall go there one
-//! by one, so only halls share. They tell each other what they demand there, several times a
-//! second, and each works out its own part from that: a hall that demands little leaves the rest
-//! to the others, and a hall of which nothing is heard keeps what would be its part if all
-//! demand the capacity, which is also what it takes by itself.
+//! The load this is built for: a runner that accepts two requests per second from all nodes
+//! together, with hundreds of nodes. The collector of a hall permits each request of its hall
+//! individually, so only halls have to share. They exchange their demand several times a second,
+//! and each computes its own share from that. A hall with little demand leaves the rest to the
+//! others. For a hall that sends no reports, the others reserve the share that it would have if
+//! every hall had unlimited demand, and a hall that receives none takes no more than that.
 
 use std::collections::HashMap;
 
@@ -15,30 +15,30 @@
 
 use crate::rate::Rate;
 
-/// What is demand of a runner is averaged over this time, in milliseconds.
+/// The time over which demand is averaged, in milliseconds.
 const DEMAND_AVERAGE_TIME: f64 = 2000.0;
 
-/// A part may be tokens up for this long, beside [`MIN_BURST`].
+/// The time for which a share may accumulate in addition to [`MIN_BURST`].
 const BURST_TIME: Millis = Millis(100);
 
-/// So many requests may be tokens up in any case: one, and what comes free until there is work for
-/// it. With five halls that all send what they tokens, this stays within half as much again
-/// as a runner takes in four seconds, and five.
+/// The number of requests that may accumulate at any rate: one, plus what accrues until there is
+/// work for it. Even if five halls all send their burst, the total stays within one and a half
+/// times what the runner accepts in four seconds, plus five.
 const MIN_BURST: f64 = 1.25;
 
-/// A runner that names less than one request in this time gets one all the same: only an answer
-/// can tell that it takes more again.
+/// The interval in which even a runner with a lower rate limit gets one request, because only an
+/// answer can announce that it accepts more again.
 const PROBE_INTERVAL: Millis = Millis(5000);
 
-/// A node that lets requests go by itself saves nothing up over a longer pause than this.
+/// The longest idle time over which a node that sends without a permit accumulates tokens.
 const MAX_IDLE: Millis = Millis(1000);
 
-/// The rate that is kept for a runner that names `rate`.
+/// Returns the rate to enforce for a runner that announced `rate`.
 fn apply_min_rate(rate: Rate) -> Rate {
     rate.max(Rate::per_second(1000.0 / PROBE_INTERVAL.0 as f64))
 }
 
-/// Requests tokens up at a rate.
+/// A token bucket.
 #[derive(Clone, Copy, Debug)]
 struct Bucket {
     tokens: f64,
@@ -46,20 +46,20 @@
 }
 
 impl Bucket {
-    /// Takes in what a rate has allowed since the last look.
+    /// Adds the tokens that accrued since the last update.
     fn fill(&mut self, rate: Rate, now: Millis) {
         let capacity = MIN_BURST + rate.count(BURST_TIME);
         self.tokens = (self.tokens + rate.count(now.since(self.updated))).min(capacity);
         self.updated = now;
     }
 
-    /// How long until one request may go; none if that never comes.
+    /// Returns the time until one request may be sent; `None` if that never happens.
     fn wait(&self, rate: Rate) -> Option<Millis> {
         if self.tokens >= 1.0 { Some(Millis(0)) } else { rate.time_to_allow(1.0 - self.tokens) }
     }
 }
 
-/// What is demand of a runner, averaged.
+/// The demand for a runner as an exponential average.
 #[derive(Clone, Copy, Debug, Default)]
 struct AverageDemand {
     value: f64,
@@ -80,63 +80,63 @@
     }
 }
 
-/// What a hall demands of a runner, as its collector tells the others.
+/// A hall's demand for a runner, as its collector reports it to the others.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Demand {
     /// The runner.
     pub runner: id::Runner,
-    /// So many requests a second.
+    /// The demand in requests per second.
     pub rate: Rate,
 }
 
-/// Another hall, as it is taken into account.
+/// Another hall that shares a rate.
 #[derive(Clone, Copy, Debug)]
 pub struct OtherHall<'a> {
     /// The hall.
     pub hall: &'a id::Hall,
-    /// Whether its collector has not told for a while.
+    /// Whether its collector has sent no recent report.
     pub is_silent: bool,
 }
 
 /// The halls that share a rate.
 #[derive(Clone, Debug)]
 pub struct Halls<'a> {
-    /// The hall that asks.
+    /// This hall.
     pub own: &'a id::Hall,
-    /// All others.
+    /// All other halls.
     pub others: Vec<OtherHall<'a>>,
 }
 
 impl Halls<'_> {
-    /// Where in a request's turn this hall begins, from 0 to 1: if all began with nothing, all
-    /// would send at once and then nothing for as long.
+    /// Returns the initial fill of this hall's bucket, from 0 to 1. If all halls began empty, all
+    /// would send at the same time and then none for as long.
     fn phase(&self) -> f64 {
         let before = self.others.iter().filter(|other| other.hall < self.own).count();
         before as f64 / (self.others.len() + 1) as f64
     }
 }
 
-/// What a runner takes from this hall at present.
+/// When and how fast a hall may send to a runner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Availability {
-    /// Until the next request may go there.
+    /// The time until the next request may be sent.
     pub wait: Millis,
-    /// This hall's part of its rate.
+    /// This hall's share of the rate limit.
     pub rate: Rate,
 }
 
-/// What a hall may send to one runner.
+/// The allocation of one runner to this hall.
 #[derive(Clone, Debug, Default)]
 struct Allocation {
-    /// None until it is first looked at.
+    /// `None` until it is first checked.
     bucket: Option<Bucket>,
     demand: AverageDemand,
-    /// What the other halls demand.
+    /// The demand of the other halls.
     others: HashMap<id::Hall, Rate>,
 }
 
 impl Allocation {
-    /// This hall's part of a rate.
+    /// Returns this hall's share of a rate.
     fn share(&self, rate: Rate, halls: &Halls, now: Millis) -> Rate {
         let others: Vec<Rate> = halls
             .others
@@ -150,8 +150,8 @@
     }
 }
 
-/// The part of `rate` for who demands `own`, beside others: nobody gets more than he demands as long
-/// as another one demands more than he gets, and what nobody demands is dealt out evenly.
+/// Returns the max-min fair share of `rate` for a hall with demand `own`: no hall gets more than
+/// its demand while another one gets less than its own, and the rest is divided evenly.
 pub fn divide(rate: Rate, own: Rate, others: &[Rate]) -> Rate {
     let mut demands: Vec<u64> = others.iter().chain([&own]).map(|demand| demand.0.min(rate.0)).collect();
     demands.sort_unstable();
@@ -160,7 +160,8 @@
     let mut share = None;
     for demand in demands {
         let granted = demand.min(rest / remaining_halls);
-        // Of those that demand as much as others the first gets the least: each takes itself for it.
+        // Rounding gives the least to the first of those with equal demand; each hall counts itself
+        // as the first.
         if demand == own {
             share.get_or_insert(granted);
         }
@@ -170,18 +171,18 @@
     Rate(share.unwrap_or(0) + rest / (others.len() as u64 + 1))
 }
 
-/// What a hall may send to the runners that name a rate. Its collector keeps it.
+/// What a hall may send to rate-limited runners, kept by its collector.
 #[derive(Clone, Debug, Default)]
 pub struct Allocations(HashMap<id::Runner, Allocation>);
 
 impl Allocations {
-    /// A request would go to a runner but for its rate, or granted there.
+    /// Records a request that is sent to a runner, or would be if its rate limit permitted it.
     pub fn record_demand(&mut self, runner: &id::Runner, now: Millis) {
         let allocation = self.0.entry(runner.clone()).or_default();
         allocation.demand.record(now);
     }
 
-    /// Another hall tells all that it demands.
+    /// Replaces the demands of another hall.
     pub fn receive_demands(&mut self, hall: &id::Hall, demands: &[Demand]) {
         for allocation in self.0.values_mut() {
             allocation.others.remove(hall);
@@ -192,14 +193,14 @@
         }
     }
 
-    /// All that this hall demands.
+    /// Lists the demands of this hall.
     pub fn list_demands(&self, now: Millis) -> Vec<Demand> {
         let demands =
             self.0.iter().map(|(id, row)| Demand { runner: id.clone(), rate: row.demand.rate(now) });
         demands.filter(|demand| demand.rate > Rate(0)).collect()
     }
 
-    /// What a runner that names `rate` takes from this hall.
+    /// Returns when and how fast this hall may send to a runner with the rate limit `rate`.
     pub fn check(&mut self, runner: &id::Runner, rate: Rate, halls: &Halls, now: Millis) -> Availability {
         let allocation = self.0.entry(runner.clone()).or_default();
         let share = allocation.share(apply_min_rate(rate), halls, now);
@@ -208,40 +209,42 @@
         Availability { wait: bucket.wait(share).unwrap_or(PROBE_INTERVAL), rate: share }
     }
 
-    /// A request granted to a runner.
+    /// Spends a token for a request that is sent to a runner.
     pub fn spend(&mut self, runner: &id::Runner) {
         if let Some(bucket) = self.0.get_mut(runner).and_then(|allocation| allocation.bucket.as_mut()) {
             bucket.tokens -= 1.0;
         }
     }
 
-    /// Forgets runners that name no rate any more.
+    /// Removes runners without a rate limit.
     pub fn retain(&mut self, is_limited: impl Fn(&id::Runner) -> bool) {
         self.0.retain(|id, _| is_limited(id));
     }
 }
 
-/// Callers come back after this part of the time that they still wait at the latest.
+/// Callers retry after this fraction of their remaining time at the latest: one divided by this
+/// number.
 const RETRY_TIME_DIVISOR: u64 = 3;
 
-/// A caller that found no place.
+/// A caller whose request got no permit.
 #[derive(Clone, Copy, Debug)]
 pub struct Caller<'a> {
-    /// The service that it asked for.
+    /// The requested service.
     pub service: &'a id::Service,
     /// The model.
     pub model: Option<&'a id::Model>,
-    /// How long it still waits; none if that is not said.
+    /// How long the caller still waits, if known.
     pub remaining_time: Option<Millis>,
 }
 
-/// When callers that found no place come back: each meets a place then, and not all the others.
+/// When callers without a permit should retry. Each gets a time of its own, so that they do not all
+/// return at once.
 #[derive(Clone, Debug, Default)]
 pub struct RetrySchedule(HashMap<(id::Service, Option<id::Model>), Millis>);
 
 impl RetrySchedule {
-    /// How long until there is a place for a caller, where the first one is `wait` away and
-    /// `part` comes free from then on. Who does not wait that long takes none.
+    /// Returns the time until a permit is expected for a caller. Callers that leave before that
+    /// time reserve none.
     pub fn schedule(&mut self, caller: &Caller, available: Availability, now: Millis) -> Millis {
         self.0.retain(|_, next| now < *next);
         let earliest = now + available.wait;
@@ -257,15 +260,16 @@
     }
 }
 
-/// What a node may send to runners that name a rate while no collector answers it.
+/// Token buckets for sending to rate-limited runners while no collector answers.
 ///
-/// Each node has the same part of the rate then. Where a pause begins it has tokens up nothing, but
-/// begins anywhere between two requests: the nodes of a hall would else all send at once.
+/// Every node then has the same share of the rate. A bucket begins with a random fraction of a
+/// token, because otherwise all nodes of a hall would send at the same time.
 #[derive(Clone, Debug, Default)]
 pub struct LocalBuckets(HashMap<id::Runner, Bucket>);
 
 impl LocalBuckets {
-    /// Whether a node, one of `nodes`, sends a request to a runner that takes `rate`.
+    /// Spends a token for a request to a runner with the rate limit `rate`, as one of `nodes`
+    /// nodes. Returns whether the request may be sent.
     pub fn try_spend(
         &mut self,
         runner: &id::Runner,
--- a/crates/fleet/src/backoff.rs
+++ b/crates/fleet/src/backoff.rs
@@ -1,9 +1,9 @@
-//! For how long runners want no requests from this node.
+//! The runners that asked this node to send no requests for a while.
 //!
-//! The load this answers: a runner that has too much to do turns a request away and names a
-//! time. It has nothing in flight, so all that compares runners by that takes it for the best
-//! one, and it gets more than any other. What it asked for is kept apart from what a node thinks
-//! of runners: it is no opinion that is given up where nobody else is left.
+//! An overloaded runner rejects a request and names a retry time. It has nothing in flight, so
+//! every comparison by load would pick it as the best one and send it more than any other. The
+//! requested times are kept apart from what the node observes of runners, because observations are
+//! ignored when no other runner is left.
 
 use std::collections::HashMap;
 
@@ -11,24 +11,24 @@
 
 use crate::runner::{Life, is_later};
 
-/// What a runner asked for.
+/// A request of a runner to back off.
 #[derive(Clone, Copy, Debug)]
 struct Backoff {
-    /// In which incarnation, where that is told.
+    /// The incarnation that asked for it, if known.
     incarnation: Option<Life>,
     until: Millis,
 }
 
-/// The runners that want no requests from this node at present.
+/// The runners that are backing off from this node.
 #[derive(Clone, Debug, Default)]
 pub struct Table(HashMap<id::Runner, Backoff>);
 
 impl Table {
-    /// A runner, in this incarnation as far as that is told, wants no requests for `span`.
+    /// Records that a runner, in this incarnation if known, wants no requests for `span`.
     ///
-    /// The latest end holds: answers overtake each other, and a runner that has asked for more
-    /// has not taken that back by asking for less. A latest incarnation owes nothing to a former one.
-    /// Returns whether this was no backoff before.
+    /// The latest end wins: answers overtake each other, and a runner that asks for less has not
+    /// taken back what it asked for before. A later incarnation is not bound by an earlier one.
+    /// Returns whether the runner was not backing off before.
     pub fn insert(&mut self, id: &id::Runner, incarnation: Option<Life>, span: Millis, now: Millis) -> bool {
         self.0.retain(|_, backoff| now < backoff.until);
         let until = now + span;
@@ -41,18 +41,19 @@
         known.is_none()
     }
 
-    /// Until when a runner wants none, if it does; `incarnation` is the one it is known to be in.
+    /// Returns when the backoff of a runner ends, if it is backing off. `incarnation` is its latest
+    /// known one.
     pub fn find_end(&self, id: &id::Runner, incarnation: Option<Life>, now: Millis) -> Option<Millis> {
         let backoff = self.0.get(id).filter(|backoff| now < backoff.until)?;
         (!is_later(incarnation, backoff.incarnation)).then_some(backoff.until)
     }
 
-    /// Whether no runner wants this.
+    /// Whether no runner is backing off.
     pub fn is_empty(&self, now: Millis) -> bool {
         self.0.values().all(|backoff| now >= backoff.until)
     }
 
-    /// The runners that want none.
+    /// Lists the runners that are backing off.
     pub fn list(&self, now: Millis) -> impl Iterator<Item = &id::Runner> {
         self.0.iter().filter(move |(_, backoff)| now < backoff.until).map(|(id, _)| id)
     }
--- a/crates/fleet/src/balance.rs
+++ b/crates/fleet/src/balance.rs
@@ -1,4 +1,4 @@
-//! Picking the runner for a request.
+//! Picks the runner for a request from what this node and the fleet have in flight.
 
 use std::collections::HashMap;
 
@@ -8,55 +8,57 @@
 use crate::occupancy::FleetLoad;
 use crate::runner::Runner;
 
-/// A runner that failed a request is passed over for this long, if others can
-/// take it. Long enough to cover the time in which a crash becomes known.
+/// How long a runner is avoided after it failed a request, if others can run the request. It covers
+/// the time until a crash becomes known.
 pub const FAILURE_AVOID_TIME: Millis = Millis(2500);
 
-/// Where streams have begun and none of them gets on for this long, the runner is
-/// stalled. A pass of an engine with all slots in use and a full piece of a prompt
-/// takes some 0.11 s by the figures that engines publish, twice as long in a slow group.
+/// How long all streams of a runner may make no progress until it counts as stalled. By the speeds
+/// that engines publish, a pass with all slots in use and a full chunk of prefill takes about 0.11
+/// s, and twice as long in a slow group.
 pub const STALL_TIMEOUT: Millis = Millis(400);
 
-/// A runner that turns away this many requests in a row is passed over: one that is merely
-/// full takes some in between. It has nothing in flight, so it would get more than all others.
+/// The number of consecutive rejections after which a runner is avoided. A runner that is merely
+/// full accepts some requests in between. One that rejects everything has nothing in flight and
+/// would otherwise get more requests than all others.
 const MIN_REJECTIONS: u32 = 2;
 
-/// For how long it is passed over then; twice as long with each excess one, up to [`FAILURE_AVOID_TIME`].
+/// How long a runner is avoided after [`MIN_REJECTIONS`]. The time doubles with each further
+/// rejection, up to [`FAILURE_AVOID_TIME`].
 const REJECTION_AVOID_TIME: Millis = Millis(300);
 
-/// What a node has seen of a runner.
+/// The observations of one runner by this node.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Record {
-    /// Requests of this node under path there.
+    /// Requests of this node in flight there.
     pub running: u32,
-    /// Streams of this node under path there that have begun.
+    /// Streams of this node in flight there that have delivered an event.
     streams: u32,
-    /// Until when it is passed over.
+    /// The runner is avoided until then.
     avoid_until: Millis,
-    /// When a request of this node last got something from there.
+    /// When a request of this node last received data from the runner.
     last_progress: Millis,
-    /// Requests of this node in a row that it turned away without naming a time.
+    /// Consecutive rejections of this node's requests without a retry time.
     rejections: u32,
 }
 
-/// Where connections to this many runners of a hall in a row are not made in time,
-/// the path there is taken to be cut: two lost runners are seldom met in a row.
+/// The number of consecutive connect timeouts to different runners of a hall after which the
+/// network path to it counts as cut. Two lost runners are seldom met in a row.
 pub const MIN_CONNECT_TIMEOUTS: u32 = 2;
 
-/// The runners of a hall to which the path seems cut are passed over for this long,
-/// if others can take the request. Then one is tried again.
+/// How long the runners of a hall with a cut path are avoided, if others can run the request. After
+/// that, one is tried again.
 pub const HALL_AVOID_TIME: Millis = Millis(1000);
 
-/// What a node has seen of the path to a hall.
+/// The observations of the network path to a hall.
 #[derive(Clone, Copy, Debug, Default)]
 struct Path {
-    /// Connections in a row that were not made in time.
+    /// Consecutive connect timeouts.
     connect_timeouts: u32,
-    /// Until when its runners are passed over.
+    /// The runners of the hall are avoided until then.
     avoid_until: Millis,
 }
 
-/// What a node has seen of all runners.
+/// The observations of all runners by this node.
 #[derive(Clone, Debug, Default)]
 pub struct Ledger {
     records: HashMap<id::Runner, Record>,
@@ -64,17 +66,17 @@
 }
 
 impl Ledger {
-    /// A request is sent to a runner.
+    /// Records that a request is sent to a runner.
     pub fn begin_request(&mut self, id: &id::Runner) {
         self.records.entry(id.clone()).or_default().running += 1;
     }
 
-    /// A connection to a runner of a hall was made.
+    /// Records a connection made to a runner of a hall.
     pub fn record_connect(&mut self, hall: &id::Hall) {
         self.paths.remove(hall);
     }
 
-    /// A connection to a runner of a hall was not made in time.
+    /// Records a connect timeout to a runner of a hall.
     pub fn record_connect_timeout(&mut self, hall: &id::Hall, now: Millis) {
         let path = self.paths.entry(hall.clone()).or_default();
         path.connect_timeouts += 1;
@@ -83,7 +85,7 @@
         }
     }
 
-    /// Whether nothing speaks against sending a request to a runner.
+    /// Whether a runner is neither avoided nor stalled, and the path to its hall not cut.
     pub fn is_healthy(&self, runner: &Runner, now: Millis) -> bool {
         let path = self.paths.get(&runner.hall).copied().unwrap_or_default();
         self.get(&runner.id).avoid_until <= now
@@ -91,32 +93,32 @@
             && !self.is_stalled(&runner.id, now)
     }
 
-    /// Whether streams have begun at a runner and none of them gets on.
+    /// Whether a runner has streams in flight and none of them makes progress.
     pub fn is_stalled(&self, id: &id::Runner, now: Millis) -> bool {
         let record = self.get(id);
         record.streams > 0 && now >= record.last_progress + STALL_TIMEOUT
     }
 
-    /// A stream has begun at a runner.
+    /// Records the first event of a stream.
     pub fn begin_stream(&mut self, id: &id::Runner) {
         self.records.entry(id.clone()).or_default().streams += 1;
     }
 
-    /// A stream that had begun at a runner is over.
+    /// Records the end of a stream that had delivered an event.
     pub fn end_stream(&mut self, id: &id::Runner) {
         if let Some(record) = self.records.get_mut(id) {
             record.streams = record.streams.saturating_sub(1);
         }
     }
 
-    /// A request ended there.
+    /// Records the end of a request.
     pub fn end_request(&mut self, id: &id::Runner) {
         if let Some(record) = self.records.get_mut(id) {
             record.running = record.running.saturating_sub(1);
         }
     }
 
-    /// A runner sent something of an answer.
+    /// Records that a runner sent part of an answer.
     pub fn record_progress(&mut self, id: &id::Runner, now: Millis) {
         let record = self.records.entry(id.clone()).or_default();
         record.last_progress = now;
@@ -124,7 +126,7 @@
         record.rejections = 0;
     }
 
-    /// A runner turned a request away and named no time.
+    /// Records that a runner rejected a request without a retry time.
     pub fn record_rejection(&mut self, id: &id::Runner, now: Millis) {
         let record = self.records.entry(id.clone()).or_default();
         record.rejections += 1;
@@ -134,19 +136,19 @@
         }
     }
 
-    /// Whether a runner has sent nothing of any answer since `start`.
+    /// Whether a runner has sent no part of any answer since `start`.
     pub fn is_silent_since(&self, id: &id::Runner, start: Millis) -> bool {
         self.get(id).last_progress < start
     }
 
-    /// A runner gave no answer, or none that can be used.
+    /// Records that a runner gave no answer, or no usable one.
     pub fn record_failure(&mut self, id: &id::Runner, now: Millis) {
         let record = self.records.entry(id.clone()).or_default();
         record.avoid_until = now + FAILURE_AVOID_TIME;
     }
 
-    /// A runner has started again under its id: what speaks against it was seen of its
-    /// former life. Requests in flight there count until their connections have ended.
+    /// Clears the failures of a runner that has restarted under the same id, as they belong to its
+    /// previous incarnation. Requests in flight there count until their connections end.
     pub fn record_restart(&mut self, id: &id::Runner) {
         if let Some(record) = self.records.get_mut(id) {
             record.avoid_until = Millis(0);
@@ -155,50 +157,50 @@
         }
     }
 
-    /// Forgets a runner that is gone.
+    /// Removes a runner that is gone.
     pub fn forget(&mut self, id: &id::Runner) {
         self.records.remove(id);
     }
 
-    /// The runners that failed a request of this node lately, or at which its streams do
-    /// not get on.
+    /// Lists the runners that failed a request of this node lately, or that make no progress on its
+    /// streams.
     pub fn list_doubted(&self, now: Millis) -> impl Iterator<Item = &id::Runner> {
         let doubted =
             move |id: &id::Runner, record: &Record| now < record.avoid_until || self.is_stalled(id, now);
         self.records.iter().filter(move |(id, record)| doubted(id, record)).map(|(id, _)| id)
     }
 
-    /// The runners that are passed over for having turned requests of this node away.
+    /// Lists the runners that are avoided because they rejected requests of this node.
     pub fn list_rejecting(&self, now: Millis) -> impl Iterator<Item = &id::Runner> {
         let rejecting =
             move |record: &Record| record.rejections >= MIN_REJECTIONS && now < record.avoid_until;
         self.records.iter().filter(move |(_, record)| rejecting(record)).map(|(id, _)| id)
     }
 
-    /// The runners at which requests of this node are in flight, and how many.
+    /// Lists the runners with requests of this node in flight, and the number of these.
     pub fn list_busy(&self) -> impl Iterator<Item = (&id::Runner, u32)> {
         self.records.iter().map(|(id, record)| (id, record.running)).filter(|(_, running)| *running > 0)
     }
 
-    /// What was seen of a runner.
+    /// Returns the observations of a runner.
     pub fn get(&self, id: &id::Runner) -> Record {
         self.records.get(id).copied().unwrap_or_default()
     }
 }
 
-/// Up to this part of its slots in use, a runner is as good as an idle one: first
-/// events wait for prompts that are read, hardly for answers that are written.
+/// The utilization up to which a runner is as good as an idle one: first events wait for prefill,
+/// hardly for token generation.
 const LIGHT_UTILIZATION: f64 = 0.6;
 
-/// With this part of all slots in use, runners have no room: requests that find all
-/// slots of a runner taken wait for one, and are late.
+/// The utilization of all slots from which runners have no room. A request that finds all slots of
+/// a runner in use waits for one and is late.
 const MAX_UTILIZATION: f64 = 0.9;
 
-/// Picks among `candidates` that are not in `tried`: one that is not passed
-/// over, with few requests in flight.
+/// Picks a healthy runner with few requests in flight among the `candidates` that are not in
+/// `tried`, or an unhealthy one if no other is left.
 ///
-/// The hall does not count: a hall with few groups of a model would get more than
-/// its groups can take.
+/// The hall is ignored, because a hall with few groups of a model would otherwise get more requests
+/// than its groups can run.
 pub fn pick<'a>(
     candidates: &[&'a Runner],
     tried: &[id::Runner],
@@ -218,7 +220,7 @@
     }
 }
 
-/// The one with the fewest requests of this node, else at random.
+/// Picks the runner with the fewest requests of this node, at random among equals.
 fn pick_by_own_requests<'a>(
     usable: &[&'a Runner],
     ledger: &Ledger,
@@ -228,9 +230,9 @@
     usable.iter().copied().min_by_key(key)
 }
 
-/// Among those with the fewest requests of this node, one at random, less likely
-/// the fewer slots are free there. All that have many are equal: were the least running
-/// one preferred, the prompts of many nodes would meet there before the next fleet_load.
+/// Picks at random among the runners with the fewest requests of this node, weighted by their room.
+/// All runners with much room have equal weight: if the least busy one were preferred, the prompts
+/// of many nodes would meet there before the next in-flight report.
 fn pick_by_fleet_load<'a>(
     usable: &[&'a Runner],
     ledger: &Ledger,
@@ -252,7 +254,7 @@
     reached.or(best.first()).copied()
 }
 
-/// Whether runners have room for one more request; none if nobody knows.
+/// Whether runners have room for one more request; `None` if the fleet load is unknown.
 pub fn has_room(
     candidates: &[&Runner],
     ledger: &Ledger,
@@ -266,7 +268,7 @@
         .map(|used| used < MAX_UTILIZATION)
 }
 
-/// The part of the slots of healthy runners that is in use, none if they have none.
+/// Returns the fraction of the slots of healthy runners in use; `None` if they have no slots.
 fn measure_utilization(
     candidates: &[&Runner],
     ledger: &Ledger,
@@ -279,13 +281,13 @@
     (slots > 0).then(|| f64::from(used) / f64::from(slots))
 }
 
-/// How much room a runner has, from 0 to 1.
+/// Returns the room of a runner, from 0 to 1.
 fn compute_room(running: u32, slots: u32) -> f64 {
     let used = f64::from(running) / f64::from(slots.max(1));
     ((1.0 - used) / (1.0 - LIGHT_UTILIZATION)).clamp(0.0, 1.0)
 }
 
-/// The requests in flight at a runner, over the whole fleet.
+/// Returns the number of requests in flight at a runner, over the whole fleet.
 fn count(runner: &Runner, ledger: &Ledger, fleet_load: &FleetLoad) -> u32 {
     let others = runner.membership.as_ref().map_or(0, |place| fleet_load.count(place.epoch));
     others + ledger.get(&runner.id).running
--- a/crates/fleet/src/dispatch.rs
+++ b/crates/fleet/src/dispatch.rs
@@ -1,12 +1,12 @@
-//! Which group takes a request, chosen by one node of a hall for all nodes of the hall.
+//! Picks the group for each request, on the collector of a hall for all nodes of that hall.
 //!
-//! The load this answers: hundreds of nodes, each with a few requests a second, and
-//! groups of which four fifths of the slots are in use. Selection by each node for itself,
-//! from reports half a second old, some groups get more requests than slots while others
-//! have room, and a third of the first events is late. The collector of a hall hears of
-//! each request of its hall when it begins and when it ends; it knows what is in flight
-//! at the groups of its own hall almost exactly, and so it sends requests there, as long
-//! as the groups of other halls do not promise an earlier first event.
+//! The load this is built for: hundreds of nodes with a few requests per second each, and groups
+//! with four fifths of their slots in use. If each node picked by itself from reports half a second
+//! old, some groups would get more requests than slots while others have room, and a third of the
+//! first events would be late. The collector is informed of each request of its hall when it begins
+//! and when it ends, so it knows almost exactly what is in flight at the groups of its own hall. It
+//! therefore sends requests there unless a group of another hall is predicted to deliver the first
+//! event earlier.
 
 use std::collections::HashMap;
 
@@ -19,143 +19,142 @@
 use crate::occupancy::{Load, Report};
 use crate::runner::{Epoch, Runner};
 
-/// The share of its time that an engine with work to write spends on prompts.
+/// The fraction of its time that a busy engine spends on prefill.
 const PREFILL_SHARE: f64 = 0.5;
 
-/// The first event comes two passes after the prompt is read: the one under way has to
-/// end, and the event's own tokens are written in the next.
+/// The number of engine passes between the end of prefill and the first event: the current pass has
+/// to end, and the event's own tokens are generated in the next one.
 const FIRST_EVENT_PASSES: f64 = 2.0;
 
-/// How much correction a first event from another hall is chosen to be, in milliseconds. What
-/// is in flight there is known from reports some 0.2 s old, in which a busy group begins
-/// three requests; the way there and back takes three.
+/// The delay added to the prediction for a group of another hall, in milliseconds. In-flight counts
+/// of other halls are about 0.2 s old, and a busy group begins three requests in that time; the
+/// round trip takes three milliseconds.
 const OTHER_HALL_PENALTY: f64 = 20.0;
 
-/// The same for a hall whose collector has not told for a while: the way there may be is_unreachable,
-/// and what is in flight there is not known.
+/// The delay added for a group of a hall whose collector has sent no report for a while, in
+/// milliseconds: the network path may be cut, and the in-flight count there is unknown.
 const SILENT_HALL_PENALTY: f64 = 1000.0;
 
-/// The same for each node that doubts a group: it failed a request of that node, or none
-/// of that node's streams gets on there.
+/// The delay added for each node that doubts a group, in milliseconds. A node doubts a group that
+/// failed one of its requests or that makes no progress on any of its streams.
 const DOUBT_PENALTY: f64 = 200.0;
 
-/// Where an engine does not say how long its answers are, a slot_wait is in use for so long,
-/// in milliseconds.
+/// How long a request occupies a slot if the engine does not publish the length of its answers, in
+/// milliseconds.
 const DEFAULT_STREAM_TIME: f64 = 1000.0;
 
-/// A request that cannot be in time goes to a group of which less than this part of the
-/// slots is in use: it delays nobody there, and its caller would come back correction still.
+/// The utilization below which a group accepts a request that cannot be on time: it delays no other
+/// request there, and a caller that was rejected would come back even later.
 const SPARE_UTILIZATION: f64 = 0.6;
 
-/// How far one first event moves what is chosen off the expectation, in milliseconds. An
-/// engine that takes a tenth of a second longer than published is known after some
+/// The step by which one sample moves the correction of the predicted delay, in milliseconds. With
+/// it, an engine that takes a tenth of a second longer than published is corrected after about
 /// twenty requests.
 const CORRECTION_STEP: f64 = 8.0;
 
-/// This part of the first events is to come within what was expected and what is chosen off.
-/// Where more requests come than can be in time, those let in are at the very limit: by the
-/// median half of them would be late.
+/// The fraction of first events that has to arrive within the corrected prediction. Under overload,
+/// admitted requests are right at the limit, so correcting by the median would make half of them
+/// late.
 const ON_TIME_FRACTION: f64 = 0.75;
 
-/// What first events come correction than expected counts for at most this part of the time in
-/// which one is wanted: a wrong expectation does not turn everybody hall_penalty.
+/// The largest correction, as a fraction of the time within which the first event is needed, so
+/// that a wrong prediction does not reject every request.
 const MAX_CORRECTION_FRACTION: f64 = 0.5;
 
 /// How soon a request needs its first event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Urgency {
-    /// It is in time within so many milliseconds.
+    /// Needs it within this many milliseconds.
     Within(u64),
-    /// It was sent to a runner that failed it: it goes on wherever it can.
+    /// A retry after a runner failed the request: any available group is accepted.
     #[serde(rename = "Again")]
     Retry,
 }
 
-/// A query for a group.
+/// Asks the collector to pick a group for a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Query {
-    /// What the asking node has in flight, without this request.
+    /// The in-flight report of the asking node, without this request.
     pub report: Report,
     /// The service.
     pub service: id::Service,
     /// The model.
     pub model: id::Model,
-    /// The tokens of the prompt; 0 if unknown.
+    /// The number of prompt tokens; 0 if unknown.
     pub prompt: u32,
     /// How soon the first event is needed.
     pub urgency: Urgency,
-    /// How long its caller still waits; none if that is not said.
+    /// How long the caller still waits, if known.
     #[serde(rename = "patience")]
     pub remaining_time: Option<Millis>,
-    /// Groups that were tried.
+    /// Groups that were tried already.
     pub tried: Vec<Epoch>,
-    /// Groups whose heads want no requests from the asking node.
+    /// Groups whose heads are backing off from the asking node.
     #[serde(rename = "unwilling")]
     pub backing_off: Vec<Epoch>,
-    /// What the request has in common with others that are the same.
+    /// Identifies requests with the same content.
     pub fingerprint: Fingerprint,
-    /// First events that came to the asking node since it last asked.
+    /// The samples that the asking node took since its last query.
     pub samples: Vec<Sample>,
 }
 
 impl Query {
-    /// Whether a head has not said that it wants no requests from the asking node. One that
-    /// turns all hall_penalty has nothing in flight, and would look best.
+    /// Whether a head is not backing off from the asking node. A head that rejects everything has
+    /// nothing in flight and would otherwise look like the best one.
     pub fn allows_head(&self, head: &Runner) -> bool {
         head.membership.as_ref().is_none_or(|place| !self.backing_off.contains(&place.epoch))
     }
 }
 
-/// How the first event of a request that went where it was told to compares with what was
-/// expected.
+/// A measured first-event delay compared with the predicted one, for a request that went to its
+/// assigned group.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Sample {
     /// The service.
     pub service: id::Service,
     /// The model.
     pub model: id::Model,
-    /// How much correction it came, in milliseconds; negative if it came sooner.
+    /// The measured delay minus the predicted one, in milliseconds; negative if the event came
+    /// early.
     #[serde(rename = "later")]
     pub lateness: i64,
 }
 
-/// A group that takes a request.
+/// The group chosen for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Assignment {
-    /// The request goes to the head of this forming of the group.
+    /// The epoch of the group; the request goes to its head.
     pub epoch: Epoch,
-    /// How long its first event should take by the published figures of the engine, in
-    /// milliseconds.
+    /// The first-event delay predicted from the engine's published speed, in milliseconds.
     pub expected: u64,
 }
 
-/// The answer to it.
+/// The answer to a [`Query`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Reply {
-    /// A group takes it.
+    /// The request is assigned to a group.
     #[serde(rename = "Take")]
     Assigned(Assignment),
-    /// No group can take it in time: the earliest first event is so many milliseconds
-    /// hall_penalty.
+    /// No group can deliver the first event in time; the earliest would take this many
+    /// milliseconds.
     Full(u64),
-    /// Nothing can be said: no group of the model is known, or too little of what is in
-    /// flight.
+    /// No answer is possible: no group of the model is known, or too few nodes have sent reports.
     Unknown,
-    /// All groups that could take it are at the rate that their heads take: the next place is so
-    /// many milliseconds hall_penalty.
+    /// Every group that could run the request has reached the rate limit of its head; the next
+    /// request may be sent in this many milliseconds.
     Throttled(u64),
-    /// Runners have ended under it, and it is not let run at present: another run of it is
-    /// undecided, or only one group is remaining.
+    /// Runners have crashed while executing the request, and it may not run at present: the outcome
+    /// of another run of it is open, or only one group is left.
     #[serde(rename = "Held")]
     Quarantined,
-    /// It ends the runners that run it.
+    /// The request crashes the runner that executes it.
     Deadly,
 }
 
-/// Prompts sent to a group that it may not have read yet.
+/// Prompts sent to a group that it may not have processed yet.
 #[derive(Clone, Copy, Debug)]
 struct Backlog {
-    /// How long prefill them takes.
+    /// How long the prefill of these prompts takes, in milliseconds.
     duration: f64,
     since: Millis,
 }
@@ -166,76 +165,77 @@
     }
 }
 
-/// The groups of one model, and how fast they are.
+/// The groups that serve a model, and the speed of their engine.
 pub struct Candidates<'a> {
-    /// The hall that is chosen for.
+    /// The hall of the nodes that send the requests.
     pub hall: &'a id::Hall,
-    /// Halls whose nodes do not tell this one what they have in flight.
+    /// Halls whose collectors have sent no recent report to this node.
     pub silent_halls: &'a [id::Hall],
-    /// The heads that take requests.
+    /// The heads that accept requests.
     pub heads: &'a [&'a Runner],
     /// The model.
     pub model: &'a Model,
-    /// How fast the engine is.
+    /// The speed of the engine.
     pub speed: &'a Speed,
-    /// Groups that a suspected request is kept hall_penalty from: another one has a run there.
+    /// Groups with a trial run of another suspected request; a suspected request is kept away from
+    /// them.
     pub trial_groups: &'a [Epoch],
-    /// Groups that have had as many requests as their heads take, and for how long they get none.
+    /// Groups whose heads have reached their rate limit, each with the time until the next request.
     pub rate_limited: &'a [(Epoch, Millis)],
 }
 
-/// The outcome of a candidates.
+/// The outcome of a choice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Selection {
     /// The answer.
     pub reply: Reply,
-    /// The group that is best, whether or not it may get a request now.
+    /// The best group, whether or not its rate limit permits a request now.
     pub best: Option<Epoch>,
 }
 
 impl Candidates<'_> {
-    /// For how long a group gets no request, if its head has had as many as it takes.
+    /// Returns the time until a group may get a request, if its head has reached its rate limit.
     fn find_rate_limit_wait(&self, epoch: Epoch) -> Option<Millis> {
         self.rate_limited.iter().find(|(limited, _)| *limited == epoch).map(|(_, wait)| *wait)
     }
 
-    /// Whether nobody tells what is in flight at this head's hall.
+    /// Whether the in-flight counts of this head's hall are unknown.
     fn is_silent(&self, head: &Runner) -> bool {
         self.silent_halls.contains(&head.hall)
     }
 }
 
-/// What a group promises a request.
+/// The predicted performance of a group for a request.
 #[derive(Clone, Copy, Debug)]
 struct Rating {
-    /// How long its first event should take, in milliseconds.
+    /// The predicted first-event delay, in milliseconds.
     expected: f64,
-    /// The same, with what speaks against the group counted as time.
+    /// The predicted delay plus penalties, in milliseconds.
     wait: f64,
-    /// Decides between groups that promise the same.
+    /// Decides at random between groups with equal waits.
     tie_breaker: u32,
     epoch: Epoch,
-    /// The part of its slots in use; all of them where the way there seems is_unreachable: its hall does
-    /// not tell, and a request has failed there lately. It would fail there first, and then
-    /// meet groups that are full.
+    /// The fraction of its slots in use. It is 1.0 if the hall sends no reports and a request
+    /// failed there lately: the path is probably cut, so the request would fail there first and
+    /// then find other groups full.
     utilization: f64,
-    /// For how long it gets no request, if its head has had as many as it takes.
+    /// The time until the group may get a request, if its head has reached its rate limit.
     rate_limit_wait: Option<Millis>,
 }
 
-/// What the node that chooses remembers of prompts and of first events.
+/// Predicts first-event delays from prompt backlogs and measured samples.
 #[derive(Clone, Debug, Default)]
 pub struct Dispatcher {
     backlogs: HashMap<Epoch, Backlog>,
-    /// How much correction than expected the first events of a model come, in milliseconds.
+    /// How much later than predicted first events come, by service and model, in milliseconds.
     corrections: HashMap<id::Service, HashMap<id::Model, f64>>,
 }
 
 impl Dispatcher {
-    /// Takes in how the first event of a request compares with what was expected.
+    /// Updates the correction of a model with a sample.
     ///
-    /// Engines publish how they step and read, but not what they need besides. Where that
-    /// is a tenth of a second, requests were let in until all came a tenth too late.
+    /// Engines publish their step and prefill times but no other overhead. Without the correction,
+    /// an overhead of a tenth of a second let in requests until every first event was that late.
     pub fn record_sample(&mut self, sample: &Sample) {
         let models = self.corrections.entry(sample.service.clone()).or_default();
         let correction = models.entry(sample.model.clone()).or_default();
@@ -243,7 +243,7 @@
             * if sample.lateness as f64 > *correction { ON_TIME_FRACTION } else { ON_TIME_FRACTION - 1.0 };
     }
 
-    /// How much correction than expected the first event of a request comes at present.
+    /// Returns how much later than predicted first events of this model come at present.
     fn find_correction(&self, query: &Query) -> f64 {
         let models = self.corrections.get(&query.service);
         models.and_then(|models| models.get(&query.model)).copied().unwrap_or(0.0)
@@ -283,8 +283,8 @@
         Selection { reply: self.choose_reply(&rated, query, prefill, now), best }
     }
 
-    /// The answer to a query, where these groups could take the request but for the rates of
-    /// their heads, and prefill its prompt takes `prefill` milliseconds.
+    /// Returns the answer to a query, given the groups that could run the request apart from their
+    /// rate limits, and the prefill time of its prompt in milliseconds.
     fn choose_reply(&mut self, rated: &[Rating], query: &Query, prefill: f64, now: Millis) -> Reply {
         let open: Vec<&Rating> = rated.iter().filter(|rating| rating.rate_limit_wait.is_none()).collect();
         let Some(best) = pick_earliest(open.iter().copied()) else {
@@ -308,7 +308,7 @@
         Reply::Assigned(Assignment { epoch, expected: expected as u64 })
     }
 
-    /// How long the first event of a request with an empty prompt should take there.
+    /// Predicts the first-event delay of a request with an empty prompt, in milliseconds.
     fn predict_delay(
         &self,
         candidates: &Candidates,
@@ -326,7 +326,7 @@
     }
 }
 
-/// Leaves out the groups that have a run of another suspected request, if there are others.
+/// Removes groups that have a trial run of another suspected request, unless none would be left.
 fn exclude_trial_groups(rated: Vec<Rating>, trials: &[Epoch]) -> Vec<Rating> {
     let is_apart = |rating: &Rating| !trials.contains(&rating.epoch);
     match trials.is_empty() || !rated.iter().any(is_apart) {
@@ -335,7 +335,7 @@
     }
 }
 
-/// What speaks against a group, as so many milliseconds.
+/// Returns the delay by which a group is penalized, in milliseconds.
 fn compute_penalty(candidates: &Candidates, head: &Runner, load: Load) -> f64 {
     let hall_penalty = match head.hall == *candidates.hall {
         true => 0.0,
@@ -349,12 +349,12 @@
     ratings.min_by(|a, b| a.wait.total_cmp(&b.wait).then(a.tie_breaker.cmp(&b.tie_breaker)))
 }
 
-/// The part of its slots that a group has in use.
+/// Returns the fraction of a group's slots that is in use; above 1 if requests wait.
 fn compute_utilization(head: &Runner, load: Load) -> f64 {
     f64::from(load.running) / f64::from(head.slots.max(1))
 }
 
-/// How long a group reads a prompt, in milliseconds.
+/// Returns the time that a group takes to prefill a prompt, in milliseconds.
 fn estimate_prefill_time(candidates: &Candidates, tokens: u32) -> f64 {
     if candidates.speed.read <= 0.0 {
         0.0
@@ -363,17 +363,18 @@
     }
 }
 
-/// How long a step of a group takes that writes for `running` requests, in milliseconds.
+/// Returns the time of one step of a group that generates tokens for `running` requests, in
+/// milliseconds.
 fn estimate_step_time(candidates: &Candidates, running: u32) -> f64 {
     candidates.model.pace * (candidates.speed.step + candidates.speed.request * f64::from(running))
 }
 
-/// How long a pass_time takes.
+/// Returns the time of one pass, in milliseconds.
 fn estimate_pass_time(candidates: &Candidates, running: u32) -> f64 {
     estimate_step_time(candidates, running) * candidates.speed.stride
 }
 
-/// How long a slot_wait is in use by one request where all are.
+/// Returns how long one request occupies a slot while all slots are in use, in milliseconds.
 fn estimate_stream_time(candidates: &Candidates, slots: u32) -> f64 {
     let time = candidates.speed.answer * estimate_step_time(candidates, slots);
     if time > 0.0 { time } else { DEFAULT_STREAM_TIME }
--- a/crates/fleet/src/event.rs
+++ b/crates/fleet/src/event.rs
@@ -1,13 +1,13 @@
-//! Splitting a stream of server-sent events into whole events with their ids.
+//! Splits a stream of server-sent events into whole events with their ids.
 
 use bytes::{Bytes, BytesMut};
 use thiserror::Error;
 
-/// The largest event that is held until its end, in bytes. Far above what
-/// engines send; it bounds memory against a server that never ends an event.
+/// The largest event that is buffered, in bytes. It is far above what engines send and bounds
+/// memory if a server never ends an event.
 pub const MAX_EVENT_BYTES: usize = 256 * 1024;
 
-/// Why a stream cannot be passed on any further.
+/// Why a stream cannot be forwarded any further.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum EventError {
     /// An event is larger than [`MAX_EVENT_BYTES`].
@@ -16,14 +16,14 @@
     /// Events are missing before this one.
     #[error("event {found} follows event {last}")]
     Gap {
-        /// The id of the last event passed on.
+        /// The id of the last event that was forwarded.
         last: u64,
-        /// The id found.
+        /// The id of the event that followed.
         found: u64,
     },
 }
 
-/// Takes pieces of a stream as they come and gives whole, new events back.
+/// Receives a stream in chunks and returns whole, new events.
 #[derive(Debug, Default)]
 pub struct Splitter {
     pending: BytesMut,
@@ -31,23 +31,23 @@
 }
 
 impl Splitter {
-    /// A splitter for a stream that goes on after event `last`.
+    /// Returns a splitter for a stream that is resumed after event `last`.
     pub fn resume_after(last: Option<u64>) -> Splitter {
         Splitter { pending: BytesMut::new(), last_id: last }
     }
 
-    /// The id of the last event given back.
+    /// Returns the id of the last event returned.
     pub fn last_id(&self) -> Option<u64> {
         self.last_id
     }
 
-    /// Whether the bytes so far end with a whole event.
+    /// Whether the bytes received so far end with a whole event.
     pub fn is_at_boundary(&self) -> bool {
         self.pending.is_empty()
     }
 
-    /// Adds a piece. Returns the whole events in it that were not given back
-    /// before, as they came.
+    /// Adds a chunk and returns the whole events in it, unchanged, without those that were returned
+    /// before.
     pub fn push(&mut self, piece: &[u8]) -> Result<Bytes, EventError> {
         self.pending.extend_from_slice(piece);
         let mut new_events = BytesMut::new();
@@ -76,7 +76,7 @@
     }
 }
 
-/// Where the first event ends, its blank line included.
+/// Returns the end of the first event, including its blank line.
 fn find_end(bytes: &[u8]) -> Option<usize> {
     let mut line_start = 0;
     for (position, byte) in bytes.iter().enumerate() {
--- a/crates/fleet/src/feedback.rs
+++ b/crates/fleet/src/feedback.rs
@@ -1,8 +1,8 @@
-//! What runners say of themselves in their answers, and what follows for a request.
+//! What runners report about themselves in answers, and what it means for a request.
 //!
-//! It is kept apart from what a node thinks of runners ([`crate::balance`]): no opinion, that is
-//! given up where nobody else is left. That a runner leaves stands in [`crate::roster`], for it
-//! concerns groups as well.
+//! It is kept apart from what a node observes of runners ([`crate::balance`]), because observations
+//! are ignored when no other runner is left and feedback is not. Whether a runner is about to leave
+//! is kept in [`crate::roster`], because it concerns groups as well.
 
 use cottoncrank::{Millis, id};
 use serde::{Deserialize, Serialize};
@@ -12,28 +12,30 @@
 use crate::runner::Life;
 use crate::throttle::{self, Message};
 
-/// Whether a runner takes a request of a node.
+/// Whether a runner accepts a request of this node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It takes as many as there are.
+    /// It accepts any number of requests.
     Open,
-    /// It takes none from this node until then.
+    /// It accepts none from this node until this time.
     BackingOff(Millis),
-    /// It takes so many from all nodes together: the hall says whether this one goes there.
+    /// It accepts this rate from all nodes together; the collector decides whether this request may
+    /// be sent.
     RateLimited(Rate),
 }
 
-/// What runners have said.
+/// The feedback received from runners.
 #[derive(Clone, Debug, Default)]
 pub struct Feedback {
-    /// For how long they want nothing from this node.
+    /// The runners that are backing off from this node.
     pub backoffs: backoff::Table,
-    /// How many requests they take from all nodes together.
+    /// The rate limits that runners announced for all nodes together.
     pub rate_limits: throttle::Table,
 }
 
 impl Feedback {
-    /// Whether a runner takes a request of this node; `life` is the one it is known to be in.
+    /// Returns whether a runner accepts a request of this node. `incarnation` is its latest known
+    /// one.
     pub fn find_admission(&self, id: &id::Runner, incarnation: Option<Life>, now: Millis) -> Admission {
         if let Some(until) = self.backoffs.find_end(id, incarnation, now) {
             return Admission::BackingOff(until);
@@ -42,25 +44,25 @@
     }
 }
 
-/// A runner that has said that it is about to leave.
+/// A runner that announced that it is about to leave.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeavingRunner {
     /// The runner.
     pub runner: id::Runner,
-    /// In which life, where that is told.
+    /// The incarnation that announced it, if known.
     #[serde(rename = "life")]
     pub incarnation: Option<Life>,
 }
 
-/// What nodes tell each other of what runners said.
+/// The part of the feedback that nodes exchange.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Digest {
-    /// What they said of the rate they take.
+    /// Announced rate limits.
     #[serde(rename = "claims")]
     pub rate_limits: Vec<Message>,
-    /// Those that are about to leave.
+    /// Runners that are about to leave.
     pub leaving: Vec<LeavingRunner>,
-    /// Those that turn requests away.
+    /// Runners that reject requests.
     #[serde(rename = "refusing")]
     pub rejecting: Vec<id::Runner>,
 }
--- a/crates/fleet/src/limit.rs
+++ b/crates/fleet/src/limit.rs
@@ -1,34 +1,32 @@
-//! How many requests a node keeps under way at the runners of one model.
+//! Limits the requests that a node has in flight at the runners of one model.
 //!
-//! An engine that has more requests than places lets them wait, and then all of
-//! them are late. No node sees the others' requests, so each watches its own: as
-//! long as first events come in time the limit rises, and when they come late it
-//! falls, below what is under way (additive increase, multiplicative decrease).
+//! If an engine has more requests than slots, they queue and all of them are late. No node sees the
+//! requests of the others, so each adapts its own limit: it rises while first events are on time,
+//! and falls below the number in flight when they are late (additive increase, multiplicative
+//! decrease).
 
 use cottoncrank::Millis;
 
-/// The limit of a node that has seen nothing yet: far above what one node takes
-/// in a calm second.
+/// The initial and highest limit: far above what one node needs in a normal second.
 const INITIAL_LIMIT: f64 = 48.0;
 
-/// The limit never falls below this: some requests have to go on to show when
-/// there is room again.
+/// The lowest limit: some requests have to be sent to find out when there is room again.
 const MIN_LIMIT: f64 = 3.0;
 
-/// What is left of the limit when first events come late.
+/// The factor by which the limit falls when first events are late.
 const DECREASE_FACTOR: f64 = 0.85;
 
-/// The limit falls at most once in this time: what was sent before the last fall
-/// is late for the same reason.
+/// The shortest time between two decreases: requests sent before the last one are late for the same
+/// reason.
 const DECREASE_INTERVAL: Millis = Millis(350);
 
-/// How much the limit rises with a first event in time, while it is in use.
+/// The increase of the limit for a first event on time, while the limit is in use.
 const INCREASE_STEP: f64 = 0.4;
 
-/// The limit counts as in use from this part of it on.
+/// The fraction of the limit from which it counts as in use.
 const IN_USE_FRACTION: f64 = 0.7;
 
-/// The limit of one model.
+/// The concurrency limit of one model.
 #[derive(Clone, Copy, Debug)]
 pub struct Limit {
     level: f64,
@@ -48,24 +46,24 @@
         f64::from(self.running) < self.level
     }
 
-    /// A request begins.
+    /// Counts a request that begins.
     pub fn begin(&mut self) {
         self.running += 1;
     }
 
-    /// A request ended.
+    /// Counts a request that ended.
     pub fn end(&mut self) {
         self.running = self.running.saturating_sub(1);
     }
 
-    /// A first event came in time.
+    /// Raises the limit, if it is in use, after a first event on time.
     pub fn record_on_time(&mut self) {
         if f64::from(self.running) >= self.level * IN_USE_FRACTION {
             self.level = (self.level + INCREASE_STEP).min(INITIAL_LIMIT);
         }
     }
 
-    /// A first event came late, or an engine had no place left.
+    /// Lowers the limit after a late first event, or when an engine had no free slot.
     pub fn record_late(&mut self, now: Millis) {
         if now >= self.decreased_at + DECREASE_INTERVAL {
             self.level = (self.level.min(f64::from(self.running)) * DECREASE_FACTOR).max(MIN_LIMIT);
@@ -73,12 +71,12 @@
         }
     }
 
-    /// How many requests are under way.
+    /// Returns the number of requests in flight.
     pub fn running(&self) -> u32 {
         self.running
     }
 
-    /// The limit at present.
+    /// Returns the current limit.
     pub fn level(&self) -> f64 {
         self.level
     }
--- a/crates/fleet/src/occupancy.rs
+++ b/crates/fleet/src/occupancy.rs
@@ -1,11 +1,10 @@
-//! How many requests are in flight at each group, over the whole fleet.
+//! In-flight requests at each group, over the whole fleet.
 //!
-//! A node has one request or none at most groups, so what it sent itself says
-//! little about how busy they are. Nodes of a hall therefore tell one of them, the
-//! hall's collector, what they have in flight, several times a second; collectors
-//! tell each other the sums of their halls; and each node gets the sum of all the
-//! others back. A report that is not renewed is dropped: whoever made it is gone
-//! or cut off.
+//! A node has at most one request in flight at most groups, so its own requests say little about
+//! how busy they are. Nodes of a hall therefore send in-flight reports to the hall's collector
+//! several times a second, collectors send each other the sums of their halls, and each node
+//! receives the sum of all other nodes as the reply. A report that is not renewed expires, because
+//! its sender is gone or cut off.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -16,41 +15,41 @@
 use crate::feedback::Digest;
 use crate::runner::Epoch;
 
-/// A report counts for this long: three of the longest periods between two.
+/// How long a report counts: three times the longest interval between two reports.
 pub const REPORT_TTL: Millis = Millis(1500);
 
-/// A view that covers less than this part of the nodes says too little: a hall that
-/// is cut off, or a node on its own, would take busy groups for idle ones.
+/// The fraction of the known nodes that the fleet load has to cover to be usable. With less, a hall
+/// that is cut off or an isolated node would mistake busy groups for idle ones.
 pub const MIN_COVERAGE: f64 = 0.5;
 
-/// Requests in flight by group. Epochs name groups: each is given out once.
+/// Requests in flight by group. An epoch identifies a group, because each is used only once.
 pub type Counts = BTreeMap<Epoch, u32>;
 
-/// What is in flight at a group, and how many nodes doubt it.
+/// The load of a group.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Load {
     /// Requests in flight, over all nodes.
     pub running: u32,
-    /// Nodes that doubt it.
+    /// The number of nodes that doubt the group.
     pub doubts: u32,
 }
 
-/// What some nodes have in flight.
+/// The requests in flight of some nodes.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct InFlight {
-    /// How many nodes it covers.
+    /// The number of nodes covered.
     pub nodes: usize,
-    /// Their requests.
+    /// Their requests by group.
     pub counts: Counts,
 }
 
 impl InFlight {
-    /// What one node has.
+    /// Returns the requests in flight of a single node.
     pub fn for_node(counts: Counts) -> InFlight {
         InFlight { nodes: 1, counts }
     }
 
-    /// Adds what other nodes have.
+    /// Adds the requests of other nodes.
     pub fn add(&mut self, more: &InFlight) {
         self.nodes += more.nodes;
         for (epoch, count) in &more.counts {
@@ -58,7 +57,7 @@
         }
     }
 
-    /// Takes off what some of these nodes have.
+    /// Subtracts the requests of some of these nodes.
     pub fn subtract(&mut self, part: &InFlight) {
         self.nodes = self.nodes.saturating_sub(part.nodes);
         for (epoch, count) in &part.counts {
@@ -78,35 +77,35 @@
     Hall,
 }
 
-/// What one node tells another.
+/// An in-flight report, sent from one node to another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
-    /// The node that sends it.
+    /// The sender.
     pub node: id::Node,
-    /// The data hall it stands in.
+    /// The sender's data hall.
     pub hall: id::Hall,
     /// What it covers.
     pub scope: Scope,
-    /// What is in flight.
+    /// The requests in flight.
     #[serde(rename = "sum")]
     pub in_flight: InFlight,
-    /// Groups that failed a request of the node, or at which its streams do not get on.
+    /// Groups that failed a request of the node, or that make no progress on its streams.
     pub doubted: Vec<Epoch>,
-    /// What runners have said of themselves: to the node, or to any of the hall.
+    /// Feedback of runners: to the node, or to any node of the hall.
     #[serde(rename = "news")]
     pub feedback: Digest,
-    /// What the hall wants of them; a node wants through its hall.
+    /// The demand of the hall for rate-limited runners; empty in the report of a single node.
     #[serde(rename = "wants")]
     pub demands: Vec<Demand>,
 }
 
-/// The answer to a report.
+/// The reply to a report.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReportReply {
-    /// What is in flight that the report does not cover.
+    /// The requests in flight that the report does not cover.
     #[serde(rename = "sum")]
     pub in_flight: InFlight,
-    /// What runners have said of themselves, as far as the node has to know it.
+    /// Feedback of runners, as far as the sender of the report needs it.
     #[serde(rename = "news")]
     pub feedback: Digest,
 }
@@ -118,7 +117,7 @@
     received: Millis,
 }
 
-/// The reports a node holds. Only collectors get any.
+/// The latest reports received. Only collectors receive any.
 #[derive(Clone, Debug, Default)]
 pub struct Table {
     nodes: HashMap<id::Node, Row>,
@@ -126,7 +125,7 @@
 }
 
 impl Table {
-    /// Takes a report in.
+    /// Inserts a report and removes expired ones.
     pub fn insert(&mut self, report: Report, now: Millis) {
         self.nodes.retain(|_, row| now < row.received + REPORT_TTL);
         self.halls.retain(|_, row| now < row.received + REPORT_TTL);
@@ -137,25 +136,25 @@
         };
     }
 
-    /// How many nodes of this hall tell this one what they have in flight.
+    /// Returns how many nodes of this hall have sent a recent report.
     pub fn count_nodes(&self, now: Millis) -> usize {
         self.nodes.values().filter(|row| now < row.received + REPORT_TTL).count()
     }
 
-    /// Whether another hall's collector tells this one.
+    /// Whether another hall's collector has sent a recent report.
     pub fn has_report_from(&self, hall: &id::Hall, now: Millis) -> bool {
         self.halls.get(hall).is_some_and(|row| now < row.received + REPORT_TTL)
     }
 
-    /// A node of this hall begins a request that its last report does not have yet.
+    /// Counts a request of a node of this hall that its last report does not include yet.
     pub fn begin_request(&mut self, node: &id::Node, epoch: Epoch) {
         if let Some(row) = self.nodes.get_mut(node) {
             *row.in_flight.counts.entry(epoch).or_default() += 1;
         }
     }
 
-    /// What is in flight at each group over all nodes, with `own` as what this one has,
-    /// and how many nodes of this hall doubt it.
+    /// Returns the load of each group over all nodes, with `own` as the requests of this node. Only
+    /// doubts of nodes of this hall are counted.
     pub fn sum_loads(&self, own: &InFlight, now: Millis) -> HashMap<Epoch, Load> {
         let mut loads: HashMap<Epoch, Load> = HashMap::new();
         let fresh = |row: &&Row| now < row.received + REPORT_TTL;
@@ -171,7 +170,7 @@
         loads
     }
 
-    /// The sum over the nodes of this hall, `own` included.
+    /// Returns the sum over the nodes of this hall, `own` included.
     pub fn sum_hall(&self, own: &InFlight, now: Millis) -> InFlight {
         let mut sum = own.clone();
         for row in self.nodes.values().filter(|row| now < row.received + REPORT_TTL) {
@@ -180,7 +179,7 @@
         sum
     }
 
-    /// The sum over the other halls.
+    /// Returns the sum over the other halls.
     pub fn sum_others(&self, now: Millis) -> InFlight {
         let mut sum = InFlight::default();
         for row in self.halls.values().filter(|row| now < row.received + REPORT_TTL) {
@@ -190,35 +189,35 @@
     }
 }
 
-/// What a node was last received of all the others.
+/// The other nodes' in-flight requests as last received.
 #[derive(Clone, Debug, Default)]
 pub struct FleetLoad {
     others: Counts,
-    /// Whether it covers covers_enough of the nodes to be used.
+    /// Whether enough nodes are covered.
     covers_enough: bool,
     sent: Option<Millis>,
 }
 
 impl FleetLoad {
-    /// Takes what the others have in flight, as sent for at `sent`, where `known`
-    /// nodes are known of, this one included.
+    /// Replaces the counts with those received for a report sent at `sent`. `known` is the number
+    /// of known nodes, this one included.
     pub fn update(&mut self, others: InFlight, known: usize, sent: Millis) {
         self.covers_enough = (others.nodes + 1) as f64 >= MIN_COVERAGE * known as f64;
         self.others = others.counts;
         self.sent = Some(sent);
     }
 
-    /// Whether the view can be used.
+    /// Whether the counts are recent and cover enough nodes.
     pub fn is_usable(&self, now: Millis) -> bool {
         self.covers_enough && self.sent.is_some_and(|sent| now < sent + REPORT_TTL)
     }
 
-    /// What the other nodes have in flight at each group.
+    /// Returns the other nodes' in-flight requests by group.
     pub fn counts(&self) -> &Counts {
         &self.others
     }
 
-    /// What the other nodes have in flight at a group.
+    /// Returns the other nodes' in-flight requests at a group.
     pub fn count(&self, epoch: Epoch) -> u32 {
         self.others.get(&epoch).copied().unwrap_or(0)
     }
--- a/crates/fleet/src/patience.rs
+++ b/crates/fleet/src/patience.rs
@@ -1,42 +1,41 @@
-//! How much of its time a request has used up previous it came here.
+//! Estimates the age of a request from the caller's remaining time.
 //!
-//! Callers say how long they still wait. A caller whose first try failed says less
-//! than those who come for the first time, so the longest wait seen lately on a route
-//! tells how old a request is.
+//! Callers state how long they still wait. A caller whose first attempt failed states less than one
+//! that makes its first attempt, so the longest remaining time seen lately on a route tells how old
+//! a request is.
 
 use std::collections::HashMap;
 
 use cottoncrank::Millis;
 
-/// The longest wait is forgotten after this, or twice as long: callers of a route
-/// that change how long they wait are measured by the new figure then.
+/// The longest remaining time is remembered for one to two of these periods. After that, callers of
+/// a route that changed their timeout are measured by the new one.
 pub const PERIOD: Millis = Millis(10_000);
 
-/// The longest waits of one route.
+/// The longest remaining times of one route.
 #[derive(Clone, Copy, Debug, Default)]
 struct Row {
     /// When the current period began.
     started: Millis,
-    /// The longest wait of the current period.
+    /// The longest of the current period.
     current: Millis,
-    /// The longest wait of the period previous.
+    /// The longest of the previous period.
     previous: Millis,
 }
 
-/// The longest waits seen lately, by route.
+/// The longest remaining times seen lately, by route.
 #[derive(Clone, Debug, Default)]
 pub struct RequestAges {
     rows: HashMap<String, Row>,
 }
 
 impl RequestAges {
-    /// How many routes are remembered: those with requests lately.
+    /// Returns the number of remembered routes: those with recent requests.
     pub fn count(&self) -> usize {
         self.rows.len()
     }
 
-    /// A request of a route comes whose caller still waits for `wait`. Returns how old
-    /// it is.
+    /// Records a request of a route with the remaining time `wait` and returns its age.
     pub fn record(&mut self, route: &str, wait: Millis, now: Millis) -> Millis {
         if !self.rows.contains_key(route) {
             self.rows.retain(|_, row| now < row.started + PERIOD + PERIOD);
--- a/crates/fleet/src/rate.rs
+++ b/crates/fleet/src/rate.rs
@@ -1,4 +1,4 @@
-//! Requests a second.
+//! Rates in requests per second.
 
 use std::fmt;
 use std::str::FromStr;
@@ -7,36 +7,37 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// The highest rate that is told apart from none at all, in thousandths of a request a second.
+/// The highest rate that is represented, in thousandths of a request per second. Higher ones are
+/// clamped to it.
 const MAX_RATE: u64 = 1_000_000_000;
 
-/// How many requests a second, in thousandths.
+/// A rate in thousandths of a request per second.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Rate(pub u64);
 
-/// A rate that cannot be read.
+/// Why a text is not a valid rate.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum RateError {
-    /// It is no decimal number.
-    #[error("`{0}` is no number of requests a second")]
+    /// Not a decimal number.
+    #[error("`{0}` is not a number of requests per second")]
     Number(String),
-    /// It is a number, but no runner takes that many.
-    #[error("`{0}` requests a second cannot be kept: it is below 0 or not finite")]
+    /// A number that is negative or not finite.
+    #[error("`{0}` requests per second is out of range: it is below 0 or not finite")]
     Range(String),
 }
 
 impl Rate {
-    /// So many requests a second; those below 0 and beyond what is told apart are cut off.
+    /// Returns a rate of this many requests per second, clamped to the valid range.
     pub fn per_second(requests: f64) -> Rate {
         Rate((requests * 1000.0).round().clamp(0.0, MAX_RATE as f64) as u64)
     }
 
-    /// The requests that it allows in a span.
+    /// Returns the number of requests allowed in a span.
     pub fn count(self, span: Millis) -> f64 {
         self.0 as f64 * span.0 as f64 / 1_000_000.0
     }
 
-    /// How long it takes to allow so many requests; none if it never does.
+    /// Returns the time that it takes to allow this many requests; `None` at a rate of 0.
     pub fn time_to_allow(self, requests: f64) -> Option<Millis> {
         (self.0 > 0).then(|| Millis((requests * 1_000_000.0 / self.0 as f64).ceil() as u64))
     }
--- a/crates/fleet/src/throttle.rs
+++ b/crates/fleet/src/throttle.rs
@@ -1,8 +1,8 @@
-//! How many requests a second runners take from all nodes together, as they say themselves.
+//! The rate limits that runners announce for all nodes together.
 //!
-//! The load this answers: a runner in need names a rate in its answers. It is a number for all
-//! nodes, so what one of them was told concerns the others; and answers overtake each other, on
-//! one node and between nodes, so that the last one read is not always the last one said.
+//! An overloaded runner announces a rate in its answers. The rate applies to all nodes, so what one
+//! node receives concerns the others. Answers overtake each other on one node and between nodes, so
+//! the last one received is not always the last one sent.
 
 use std::collections::HashMap;
 
@@ -12,90 +12,90 @@
 use crate::rate::Rate;
 use crate::runner::{Life, is_later};
 
-/// What a runner said of its rate in one answer.
+/// A rate limit as announced in one answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RateLimit {
     /// The runner.
     pub runner: id::Runner,
-    /// In which incarnation, where that is told.
+    /// The incarnation that announced it, if known.
     pub incarnation: Option<Life>,
-    /// The rate it takes; none if it previous_rate none.
+    /// The accepted rate; `None` if the answer announced none.
     pub rate: Option<Rate>,
-    /// When the request was sent that it answered. It said so no sooner.
+    /// When the answered request was sent: the earliest time of the announcement.
     pub sent: Millis,
-    /// When the answer came. It said so no later.
+    /// When the answer was received: the latest time of the announcement.
     pub received: Millis,
 }
 
-/// A limit as nodes tell it each other, with ages in place of times.
+/// A rate limit as nodes exchange it, with ages in place of times.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Message {
     /// The runner.
     pub runner: id::Runner,
-    /// In which incarnation, where that is told.
+    /// The incarnation that announced it, if known.
     #[serde(rename = "life")]
     pub incarnation: Option<Life>,
-    /// The rate it takes; none if it previous_rate none.
+    /// The accepted rate; `None` if the answer announced none.
     pub rate: Option<Rate>,
-    /// How long ago the request was sent.
+    /// The time since the answered request was sent.
     #[serde(rename = "asked")]
     pub sent: Millis,
-    /// How long ago the answer came.
+    /// The time since the answer was received.
     #[serde(rename = "heard")]
     pub received: Millis,
 }
 
 impl RateLimit {
-    /// The limit as it is told at `now`.
+    /// Converts the times to ages at `now`.
     pub fn to_message(&self, now: Millis) -> Message {
         let RateLimit { runner, incarnation, rate, sent, received } = self.clone();
         Message { runner, incarnation, rate, sent: now.since(sent), received: now.since(received) }
     }
 
-    /// Whether it surely was said after `other`, of the same runner.
+    /// Whether it was certainly announced after `other`, by the same runner.
     fn is_after(&self, other: &RateLimit) -> bool {
         is_later(self.incarnation, other.incarnation) || self.sent >= other.received
     }
 }
 
 impl Message {
-    /// The limit, told at `now`.
+    /// Converts the ages at `now` to times.
     pub fn to_rate_limit(&self, now: Millis) -> RateLimit {
         let Message { runner, incarnation, rate, sent, received } = self.clone();
         RateLimit { runner, incarnation, rate, sent: now.since(sent), received: now.since(received) }
     }
 }
 
-/// What a limit changed.
+/// The effect of an announcement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// Nothing that matters.
+    /// The rate is unchanged.
     None,
-    /// The runner takes so many now.
+    /// The runner has this rate limit now.
     Set(Rate),
-    /// The runner names no rate any more.
+    /// The runner has no rate limit any more.
     Withdrawn,
 }
 
-/// The rate for a comparison: without one, all are taken.
+/// Returns the rate for comparisons: no limit is higher than every limit.
 fn comparable_rate(rate: Option<Rate>) -> Rate {
     rate.unwrap_or(Rate(u64::MAX))
 }
 
-/// The newest claims of runners that name a rate, or did a while ago.
+/// The latest announcements of runners that have a rate limit, or had one a while ago.
 #[derive(Clone, Debug, Default)]
 pub struct Table(HashMap<id::Runner, RateLimit>);
 
-/// A runner that has withdrawn its rate is remembered for this long: so much older may be what
-/// another node tells of it.
+/// How long a withdrawn limit is remembered, because messages of other nodes may be older than the
+/// withdrawal by this much.
 const WITHDRAWN_TTL: Millis = Millis(10_000);
 
 impl Table {
-    /// Takes a limit in.
+    /// Applies an announcement and returns its effect.
     ///
-    /// One that surely was said later holds. Where the comparable_rate of two is not known the lower rate
-    /// does, until a request sent after that has been answered: too few for a moment harms less
-    /// than too many.
+    /// The one that was certainly made later wins. If the order of two is unknown, the lower rate
+    /// applies until a request sent after that has been answered, because too few requests for a
+    /// moment do less harm than too many.
     pub fn apply(&mut self, limit: RateLimit) -> Change {
         let now = limit.received;
         self.0.retain(|_, known| known.rate.is_some() || now < known.received + WITHDRAWN_TTL);
@@ -104,7 +104,7 @@
             known.is_after(&limit)
                 || (!limit.is_after(known) && comparable_rate(limit.rate) >= comparable_rate(known.rate))
         });
-        // A runner that never previous_rate a rate has none to withdraw.
+        // A runner that never announced a limit has none to withdraw.
         if is_outdated || (previous.is_none() && limit.rate.is_none()) {
             return Change::None;
         }
@@ -118,18 +118,19 @@
         }
     }
 
-    /// The rate that a runner takes, if it has previous_rate one; `incarnation` is the one it is known to be in.
+    /// Returns the rate limit of a runner, if it has one. `incarnation` is the latest known one; a
+    /// limit of an earlier incarnation does not apply to it.
     pub fn find(&self, id: &id::Runner, incarnation: Option<Life>) -> Option<Rate> {
         let limit = self.0.get(id).filter(|limit| !is_later(incarnation, limit.incarnation))?;
         limit.rate
     }
 
-    /// All that is known.
+    /// Lists all announcements.
     pub fn iter(&self) -> impl Iterator<Item = &RateLimit> {
         self.0.values()
     }
 
-    /// Forgets runners that are gone.
+    /// Removes runners that are gone.
     pub fn retain(&mut self, exists: impl Fn(&id::Runner) -> bool) {
         self.0.retain(|id, _| exists(id));
     }
