--- a/crates/fleet/benches/pressure.rs
+++ b/crates/fleet/benches/pressure.rs
@@ -64,18 +64,12 @@
     let claim = |number| -> Result<Message, Box<dyn Error>> {
         let life = Some(Life(1_770_000_000_000 + number as u64));
         let (asked, heard) = (Millis(900), Millis(600));
-        Ok(Message {
-            runner: name(number)?,
-            incarnation: life,
-            rate: Some(Rate(1600)),
-            sent: asked,
-            received: heard,
-        })
+        Ok(Message { runner: name(number)?, life, rate: Some(Rate(1600)), asked, heard })
     };
     let claims = (0..LIMITED).map(claim).collect::<Result<Vec<Message>, _>>()?;
     let want = |number| Ok::<Demand, Box<dyn Error>>(Demand { runner: name(number)?, rate: Rate(5300) });
     let wants = (0..LIMITED).map(want).collect::<Result<Vec<Demand>, _>>()?;
-    let news = Digest { rate_limits: claims, ..Digest::default() };
+    let news = Digest { claims, ..Digest::default() };
     let (news, wants) = (rmp_serde::to_vec(&news)?.len(), rmp_serde::to_vec(&wants)?.len());
     println!("bytes for {LIMITED} runners: claims {news}, wants {wants}");
     Ok(())
--- a/crates/fleet/src/dispatch.rs
+++ b/crates/fleet/src/dispatch.rs
@@ -67,8 +67,7 @@
     /// Needs it within this many milliseconds.
     Within(u64),
     /// A retry after a runner failed the request: any available group is accepted.
-    #[serde(rename = "Again")]
-    Retry,
+    Again,
 }
 
 /// Asks the collector to pick a group for a request.
@@ -85,13 +84,11 @@
     /// How soon the first event is needed.
     pub urgency: Urgency,
     /// How long the caller still waits, if known.
-    #[serde(rename = "patience")]
-    pub remaining_time: Option<Millis>,
+    pub patience: Option<Millis>,
     /// Groups that were tried already.
     pub tried: Vec<Epoch>,
     /// Groups whose heads are backing off from the asking node.
-    #[serde(rename = "unwilling")]
-    pub backing_off: Vec<Epoch>,
+    pub unwilling: Vec<Epoch>,
     /// Identifies requests with the same content.
     pub fingerprint: Fingerprint,
     /// The samples that the asking node took since its last query.
@@ -102,7 +99,7 @@
     /// Whether a head is not backing off from the asking node. A head that rejects everything has
     /// nothing in flight and would otherwise look like the best one.
     pub fn allows_head(&self, head: &Runner) -> bool {
-        head.membership.as_ref().is_none_or(|place| !self.backing_off.contains(&place.epoch))
+        head.membership.as_ref().is_none_or(|place| !self.unwilling.contains(&place.epoch))
     }
 }
 
@@ -116,8 +113,7 @@
     pub model: id::Model,
     /// The measured delay minus the predicted one, in milliseconds; negative if the event came
     /// early.
-    #[serde(rename = "later")]
-    pub lateness: i64,
+    pub later: i64,
 }
 
 /// The group chosen for a request.
@@ -133,8 +129,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Reply {
     /// The request is assigned to a group.
-    #[serde(rename = "Take")]
-    Assigned(Assignment),
+    Take(Assignment),
     /// No group can deliver the first event in time; the earliest would take this many
     /// milliseconds.
     Full(u64),
@@ -143,10 +138,9 @@
     /// Every group that could run the request has reached the rate limit of its head; the next
     /// request may be sent in this many milliseconds.
     Throttled(u64),
-    /// Runners have crashed while executing the request, and it may not run at present: the outcome
-    /// of another run of it is open, or only one group is left.
-    #[serde(rename = "Held")]
-    Quarantined,
+    /// The request is quarantined. Runners have crashed while executing it, and it may not run at
+    /// present: the outcome of another run of it is open, or only one group is left.
+    Held,
     /// The request crashes the runner that executes it.
     Deadly,
 }
@@ -240,7 +234,7 @@
         let models = self.corrections.entry(sample.service.clone()).or_default();
         let correction = models.entry(sample.model.clone()).or_default();
         *correction += CORRECTION_STEP
-            * if sample.lateness as f64 > *correction { ON_TIME_FRACTION } else { ON_TIME_FRACTION - 1.0 };
+            * if sample.later as f64 > *correction { ON_TIME_FRACTION } else { ON_TIME_FRACTION - 1.0 };
     }
 
     /// Returns how much later than predicted first events of this model come at present.
@@ -296,7 +290,7 @@
             Urgency::Within(millis) => {
                 rating.wait + correction.min(millis as f64 * MAX_CORRECTION_FRACTION) <= millis as f64
             }
-            Urgency::Retry => true,
+            Urgency::Again => true,
         };
         let has_room = |rating: &&Rating| rating.utilization < SPARE_UTILIZATION;
         let chosen = Some(best).filter(fits).or_else(|| pick_earliest(open.into_iter().filter(has_room)));
@@ -305,7 +299,7 @@
         };
         let remaining = self.backlogs.get(&epoch).map_or(0.0, |backlog| backlog.remaining(now));
         self.backlogs.insert(epoch, Backlog { duration: remaining + prefill, since: now });
-        Reply::Assigned(Assignment { epoch, expected: expected as u64 })
+        Reply::Take(Assignment { epoch, expected: expected as u64 })
     }
 
     /// Predicts the first-event delay of a request with an empty prompt, in milliseconds.
--- a/crates/fleet/src/feedback.rs
+++ b/crates/fleet/src/feedback.rs
@@ -50,19 +50,16 @@
     /// The runner.
     pub runner: id::Runner,
     /// The incarnation that announced it, if known.
-    #[serde(rename = "life")]
-    pub incarnation: Option<Life>,
+    pub life: Option<Life>,
 }
 
 /// The part of the feedback that nodes exchange.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Digest {
-    /// Announced rate limits.
-    #[serde(rename = "claims")]
-    pub rate_limits: Vec<Message>,
+    /// The rate limits that runners announced.
+    pub claims: Vec<Message>,
     /// Runners that are about to leave.
     pub leaving: Vec<LeavingRunner>,
     /// Runners that reject requests.
-    #[serde(rename = "refusing")]
-    pub rejecting: Vec<id::Runner>,
+    pub refusing: Vec<id::Runner>,
 }
--- a/crates/fleet/src/occupancy.rs
+++ b/crates/fleet/src/occupancy.rs
@@ -87,24 +87,21 @@
     /// What it covers.
     pub scope: Scope,
     /// The requests in flight.
-    #[serde(rename = "sum")]
-    pub in_flight: InFlight,
+    pub sum: InFlight,
     /// Groups that failed a request of the node, or that make no progress on its streams.
     pub doubted: Vec<Epoch>,
     /// Feedback of runners: to the node, or to any node of the hall.
     #[serde(rename = "news")]
     pub feedback: Digest,
     /// The demand of the hall for rate-limited runners; empty in the report of a single node.
-    #[serde(rename = "wants")]
-    pub demands: Vec<Demand>,
+    pub wants: Vec<Demand>,
 }
 
 /// The reply to a report.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReportReply {
     /// The requests in flight that the report does not cover.
-    #[serde(rename = "sum")]
-    pub in_flight: InFlight,
+    pub sum: InFlight,
     /// Feedback of runners, as far as the sender of the report needs it.
     #[serde(rename = "news")]
     pub feedback: Digest,
@@ -129,7 +126,7 @@
     pub fn insert(&mut self, report: Report, now: Millis) {
         self.nodes.retain(|_, row| now < row.received + REPORT_TTL);
         self.halls.retain(|_, row| now < row.received + REPORT_TTL);
-        let row = Row { in_flight: report.in_flight, doubted: report.doubted, received: now };
+        let row = Row { in_flight: report.sum, doubted: report.doubted, received: now };
         match report.scope {
             Scope::Node => self.nodes.insert(report.node, row),
             Scope::Hall => self.halls.insert(report.hall, row),
--- a/crates/fleet/src/roster.rs
+++ b/crates/fleet/src/roster.rs
@@ -107,7 +107,7 @@
     /// The runners that have said in an answer that they are about to leave.
     pub fn list_leaving(&self) -> Vec<LeavingRunner> {
         let leaving = self.leaving.iter();
-        leaving.map(|(id, life)| LeavingRunner { runner: id.clone(), incarnation: *life }).collect()
+        leaving.map(|(id, life)| LeavingRunner { runner: id.clone(), life: *life }).collect()
     }
 
     /// Whether a runner has said in this life that it is about to leave.
--- a/crates/fleet/src/throttle.rs
+++ b/crates/fleet/src/throttle.rs
@@ -33,23 +33,20 @@
     /// The runner.
     pub runner: id::Runner,
     /// The incarnation that announced it, if known.
-    #[serde(rename = "life")]
-    pub incarnation: Option<Life>,
+    pub life: Option<Life>,
     /// The accepted rate; `None` if the answer announced none.
     pub rate: Option<Rate>,
     /// The time since the answered request was sent.
-    #[serde(rename = "asked")]
-    pub sent: Millis,
+    pub asked: Millis,
     /// The time since the answer was received.
-    #[serde(rename = "heard")]
-    pub received: Millis,
+    pub heard: Millis,
 }
 
 impl RateLimit {
     /// Converts the times to ages at `now`.
     pub fn to_message(&self, now: Millis) -> Message {
         let RateLimit { runner, incarnation, rate, sent, received } = self.clone();
-        Message { runner, incarnation, rate, sent: now.since(sent), received: now.since(received) }
+        Message { runner, life: incarnation, rate, asked: now.since(sent), heard: now.since(received) }
     }
 
     /// Whether it was certainly announced after `other`, by the same runner.
@@ -61,7 +58,7 @@
 impl Message {
     /// Converts the ages at `now` to times.
     pub fn to_rate_limit(&self, now: Millis) -> RateLimit {
-        let Message { runner, incarnation, rate, sent, received } = self.clone();
+        let Message { runner, life: incarnation, rate, asked: sent, heard: received } = self.clone();
         RateLimit { runner, incarnation, rate, sent: now.since(sent), received: now.since(received) }
     }
 }
--- a/crates/fleet/tests/dispatch.rs
+++ b/crates/fleet/tests/dispatch.rs
@@ -54,10 +54,10 @@
         node: node.parse().unwrap(),
         hall: "hall-a".parse().unwrap(),
         scope: Scope::Node,
-        in_flight: InFlight::for_node(Default::default()),
+        sum: InFlight::for_node(Default::default()),
         doubted: doubted.iter().map(|epoch| Epoch(*epoch)).collect(),
         feedback: Digest::default(),
-        demands: Vec::new(),
+        wants: Vec::new(),
     }
 }
 
@@ -70,9 +70,9 @@
         model: "small".parse().unwrap(),
         prompt: 700,
         urgency,
-        remaining_time: None,
+        patience: None,
         tried: tried.iter().map(|epoch| Epoch(*epoch)).collect(),
-        backing_off: Vec::new(),
+        unwilling: Vec::new(),
         fingerprint: Fingerprint::of(&REQUEST),
         samples: Vec::new(),
     }
@@ -81,8 +81,8 @@
 /// The group that takes the request, if one does.
 fn taken(reply: Reply) -> Option<Epoch> {
     match reply {
-        Reply::Assigned(promise) => Some(promise.epoch),
-        Reply::Throttled(_) | Reply::Full(_) | Reply::Unknown | Reply::Quarantined | Reply::Deadly => None,
+        Reply::Take(promise) => Some(promise.epoch),
+        Reply::Throttled(_) | Reply::Full(_) | Reply::Unknown | Reply::Held | Reply::Deadly => None,
     }
 }
 
@@ -133,8 +133,8 @@
     let heads = [head(1, "hall-a"), head(2, "hall-a")];
     let full = [(1, running(20)), (2, running(20))];
     assert!(matches!(ask(&heads, &full, IN_TIME, &[]), Reply::Full(wait) if wait > 300));
-    assert_eq!(taken(ask(&heads, &full, Urgency::Retry, &[1])), Some(Epoch(2)));
-    assert_eq!(ask(&heads, &full, Urgency::Retry, &[1, 2]), Reply::Unknown, "both were tried");
+    assert_eq!(taken(ask(&heads, &full, Urgency::Again, &[1])), Some(Epoch(2)));
+    assert_eq!(ask(&heads, &full, Urgency::Again, &[1, 2]), Reply::Unknown, "both were tried");
 }
 
 #[test]
@@ -159,7 +159,7 @@
         let urgency = Urgency::Within(rng.random_range(0..600));
         let room = loads.iter().any(|(_, load)| f64::from(load.running) < 0.6 * f64::from(SLOTS));
         let reply = ask(&heads, &loads, urgency, &[]);
-        assert!(!room || matches!(reply, Reply::Assigned(_)), "{reply:?} to {urgency:?} with {loads:?}");
+        assert!(!room || matches!(reply, Reply::Take(_)), "{reply:?} to {urgency:?} with {loads:?}");
     }
 }
 
@@ -203,7 +203,7 @@
     };
     let load = |epoch: Epoch| if epoch == Epoch(1) { running(15) } else { running(0) };
     let mut rng = SmallRng::seed_from_u64(1);
-    let question = question(Urgency::Retry, &[]);
+    let question = question(Urgency::Again, &[]);
     let reply = Dispatcher::default().choose(&choice, &question, load, Millis(1000), &mut rng).reply;
     assert_eq!(taken(reply), Some(Epoch(1)));
 }
@@ -290,8 +290,8 @@
         let epoch = match policy {
             Policy::Collector => {
                 let load = |epoch: Epoch| running(running_at.get(&epoch).copied().unwrap_or(0));
-                match dispatcher.choose(&choice, &question(Urgency::Retry, &[]), load, at, &mut rng).reply {
-                    Reply::Assigned(promise) => promise.epoch,
+                match dispatcher.choose(&choice, &question(Urgency::Again, &[]), load, at, &mut rng).reply {
+                    Reply::Take(promise) => promise.epoch,
                     reply => panic!("{reply:?}"),
                 }
             }
@@ -323,7 +323,7 @@
 }
 
 fn sample(later: i64) -> Sample {
-    Sample { service: "llm".parse().unwrap(), model: "small".parse().unwrap(), lateness: later }
+    Sample { service: "llm".parse().unwrap(), model: "small".parse().unwrap(), later }
 }
 
 #[test]
@@ -334,23 +334,23 @@
         choose(dispatcher, &heads, |_| running(13), &question, Millis(1000))
     };
     let mut dispatcher = Dispatcher::default();
-    let Reply::Assigned(promise) = ask(&mut dispatcher, 300) else { panic!("it has a free slot") };
+    let Reply::Take(promise) = ask(&mut dispatcher, 300) else { panic!("it has a free slot") };
     let wanted = promise.expected + 80;
-    assert!(matches!(ask(&mut Dispatcher::default(), wanted), Reply::Assigned(_)));
+    assert!(matches!(ask(&mut Dispatcher::default(), wanted), Reply::Take(_)));
     for _ in 0..40 {
         dispatcher.record_sample(&sample(120));
     }
     assert!(matches!(ask(&mut dispatcher.clone(), wanted), Reply::Full(_)));
-    assert!(matches!(ask(&mut dispatcher.clone(), wanted + 200), Reply::Assigned(_)));
+    assert!(matches!(ask(&mut dispatcher.clone(), wanted + 200), Reply::Take(_)));
     // A minority of requests that met a group which stands still says nothing.
     for number in 0..200 {
         dispatcher.record_sample(&sample(if number % 4 == 0 { 2000 } else { 120 }));
     }
-    assert!(matches!(ask(&mut dispatcher.clone(), wanted + 200), Reply::Assigned(_)));
+    assert!(matches!(ask(&mut dispatcher.clone(), wanted + 200), Reply::Take(_)));
     for _ in 0..80 {
         dispatcher.record_sample(&sample(0));
     }
-    assert!(matches!(ask(&mut dispatcher, wanted), Reply::Assigned(_)), "they come as expected again");
+    assert!(matches!(ask(&mut dispatcher, wanted), Reply::Take(_)), "they come as expected again");
 }
 
 #[test]
@@ -362,7 +362,7 @@
     }
     let question = question(Urgency::Within(400), &[]);
     let reply = choose(&mut dispatcher, &heads, |_| running(12), &question, Millis(1000));
-    assert!(matches!(reply, Reply::Assigned(_)), "{reply:?}");
+    assert!(matches!(reply, Reply::Take(_)), "{reply:?}");
 }
 
 /// One group whose engine takes 120 ms longer than published before each first event, and
@@ -391,7 +391,7 @@
         });
         let question = Query { prompt, ..question(Urgency::Within(WANTED), &[]) };
         let reply = choose(&mut dispatcher, &heads, |_| running(10), &question, Millis(now as u64));
-        let Reply::Assigned(promise) = reply else { continue };
+        let Reply::Take(promise) = reply else { continue };
         read = read.max(now) + reading;
         let first = read + passes + HIDDEN;
         let_in += 1;
@@ -424,7 +424,7 @@
             trial_groups: trials,
             rate_limited: &[],
         };
-        let question = question(Urgency::Retry, &[]);
+        let question = question(Urgency::Again, &[]);
         let rng = &mut SmallRng::seed_from_u64(1);
         taken(Dispatcher::default().choose(&choice, &question, load, Millis(1000), rng).reply)
     };
--- a/crates/fleet/tests/occupancy.rs
+++ b/crates/fleet/tests/occupancy.rs
@@ -47,10 +47,10 @@
         node: node.parse().unwrap(),
         hall: hall.parse().unwrap(),
         scope,
-        in_flight: sum(1, rows),
+        sum: sum(1, rows),
         doubted: Vec::new(),
         feedback: Digest::default(),
-        demands: Vec::new(),
+        wants: Vec::new(),
     }
 }
 
--- a/crates/fleet/tests/unwilling.rs
+++ b/crates/fleet/tests/unwilling.rs
@@ -161,18 +161,18 @@
                 node: format!("n{node}").parse().unwrap(),
                 hall: "hall-a".parse().unwrap(),
                 scope: Scope::Node,
-                in_flight: InFlight::default(),
+                sum: InFlight::default(),
                 doubted: Vec::new(),
                 feedback: Digest::default(),
-                demands: Vec::new(),
+                wants: Vec::new(),
             },
             service: "llm".parse().unwrap(),
             model: "small".parse().unwrap(),
             prompt: 700,
-            urgency: if tried.is_empty() { Urgency::Within(300) } else { Urgency::Retry },
-            remaining_time: None,
+            urgency: if tried.is_empty() { Urgency::Within(300) } else { Urgency::Again },
+            patience: None,
             tried: tried.to_vec(),
-            backing_off: self.list_unwilling(node, now),
+            unwilling: self.list_unwilling(node, now),
             fingerprint: Fingerprint::of(&Request { account: None, method: "POST", path: "/", body: b"b" }),
             samples: Vec::new(),
         };
@@ -207,7 +207,7 @@
     fn ask(&mut self, node: usize, now: Millis) -> (u32, bool) {
         let mut tried = Vec::new();
         while tried.len() < TRIES {
-            let Reply::Assigned(promise) = self.choose(node, &tried, now) else { break };
+            let Reply::Take(promise) = self.choose(node, &tried, now) else { break };
             let epoch = promise.epoch;
             if let Some((at, sent)) = self.asked.get_mut(&(node, epoch)) {
                 let binds = (*at + UNDER_WAY).0..(*at + SPAN).0;
--- a/crates/node/src/collect.rs
+++ b/crates/node/src/collect.rs
@@ -93,7 +93,7 @@
     match told {
         Ok(reply) => {
             news::take(node, &reply.feedback, Scope::Hall);
-            put_view(node, reply.in_flight, asked);
+            put_view(node, reply.sum, asked);
             Ok(())
         }
         Err(error) => {
@@ -140,23 +140,23 @@
         node: settings.node.clone(),
         hall: settings.hall.clone(),
         scope,
-        in_flight: sum,
+        sum,
         doubted,
         feedback: news::tell(node, scope),
-        demands: throttle::list_wants(node, scope),
+        wants: throttle::list_wants(node, scope),
     }
 }
 
 /// Takes a report in. Returns what its sender is not told by others: a node what
 /// all others have in flight, a collector what this hall has.
 pub fn take(node: &Node, report: Report) -> ReportReply {
-    let (scope, own) = (report.scope, report.in_flight.clone());
+    let (scope, own) = (report.scope, report.sum.clone());
     note(node, report);
     let mut sum = sum_others(node, &node.sum_in_flight(), scope);
     if scope == Scope::Node {
         sum.subtract(&own);
     }
-    ReportReply { in_flight: sum, feedback: news::answer(node, scope) }
+    ReportReply { sum, feedback: news::answer(node, scope) }
 }
 
 /// Keeps what a report says.
@@ -167,7 +167,7 @@
         Scope::Node => node.presence.lock().hear(&report.node, now),
         Scope::Hall => {
             node.presence.lock().hear_hall(&report.hall, now);
-            node.rations.lock().receive_demands(&report.hall, &report.demands);
+            node.rations.lock().receive_demands(&report.hall, &report.wants);
         }
     }
     node.reports.lock().insert(report, now);
--- a/crates/node/src/dispatch.rs
+++ b/crates/node/src/dispatch.rs
@@ -33,7 +33,7 @@
     let later = took.0 as i64 - promise.expected as i64;
     let mut samples = node.samples.lock();
     if samples.len() < SAMPLES {
-        samples.push(Sample { service, model, lateness: later });
+        samples.push(Sample { service, model, later });
     }
 }
 
@@ -48,9 +48,9 @@
         model: model?,
         prompt: job.terms.prompt.unwrap_or(0),
         urgency,
-        remaining_time: job.patience(node.now()),
+        patience: job.patience(node.now()),
         tried: list_epochs(node, tried),
-        backing_off: node.list_unwilling(),
+        unwilling: node.list_unwilling(),
         fingerprint: job.fingerprint,
         samples: std::mem::take(&mut *node.samples.lock()),
     };
@@ -91,7 +91,7 @@
 pub fn take(node: &Node, question: Query) -> Reply {
     collect::note(node, question.report.clone());
     let reply = choose(node, &question);
-    if let Reply::Assigned(promise) = reply {
+    if let Reply::Take(promise) = reply {
         node.reports.lock().begin_request(&question.report.node, promise.epoch);
     }
     reply
@@ -111,7 +111,7 @@
 }
 
 fn choose(node: &Node, question: &Query) -> Reply {
-    if question.urgency != Urgency::Retry {
+    if question.urgency != Urgency::Again {
         retries::earn_pooled(node);
     }
     let Some(catalog) = node.catalog.lock().clone() else { return Reply::Unknown };
@@ -134,7 +134,7 @@
     let trials = match ruling {
         Ruling::Run => Vec::new(),
         Ruling::Trial => node.trials.lock().list_groups(&question.fingerprint, now),
-        Ruling::Hold => return Reply::Quarantined,
+        Ruling::Hold => return Reply::Held,
         Ruling::Refuse => return Reply::Deadly,
     };
     let limited = throttle::list_limited(node, &heads, now);
@@ -158,7 +158,7 @@
         let wait = throttle::plan_return(node, question, &limited, now);
         return Reply::Throttled(wait.map_or(soonest, |wait| wait.0));
     }
-    if let (Ruling::Trial, Reply::Assigned(promise)) = (ruling, reply) {
+    if let (Ruling::Trial, Reply::Take(promise)) = (ruling, reply) {
         node.trials.lock().begin(question.fingerprint, Some(promise.epoch), now);
     }
     reply
--- a/crates/node/src/news.rs
+++ b/crates/node/src/news.rs
@@ -19,9 +19,9 @@
         refusing.extend(node.refusals.lock().list_local(now).cloned());
     }
     Digest {
-        rate_limits: throttle::list_claims(node, scope),
+        claims: throttle::list_claims(node, scope),
         leaving: node.roster.lock().list_leaving(),
-        rejecting: refusing.into_iter().collect(),
+        refusing: refusing.into_iter().collect(),
     }
 }
 
@@ -30,9 +30,9 @@
 pub(crate) fn answer(node: &Node, scope: Scope) -> Digest {
     match scope {
         Scope::Node => Digest {
-            rate_limits: throttle::list_plain_claims(node),
+            claims: throttle::list_plain_claims(node),
             leaving: node.roster.lock().list_leaving(),
-            rejecting: node.refusals.lock().list(node.now()).cloned().collect(),
+            refusing: node.refusals.lock().list(node.now()).cloned().collect(),
         },
         Scope::Hall => Digest::default(),
     }
@@ -40,12 +40,12 @@
 
 /// Takes in what another node tells: a node of this hall, or one that speaks for others.
 pub(crate) fn take(node: &Node, news: &Digest, scope: Scope) {
-    throttle::take_claims(node, &news.rate_limits);
-    for LeavingRunner { runner, incarnation: life } in &news.leaving {
+    throttle::take_claims(node, &news.claims);
+    for LeavingRunner { runner, life } in &news.leaving {
         node.note_leaving(runner, *life);
     }
     let (mut refusals, now) = (node.refusals.lock(), node.now());
-    for runner in &news.rejecting {
+    for runner in &news.refusing {
         refusals.record(runner, scope == Scope::Node, now);
     }
 }
--- a/crates/node/src/stream.rs
+++ b/crates/node/src/stream.rs
@@ -64,9 +64,9 @@
         return Err(throttle::refuse(node, &job, Millis(wait)));
     }
     let admitted = match reply {
-        Some(Reply::Assigned(_)) => Some(node.admit_chosen(&lane)),
+        Some(Reply::Take(_)) => Some(node.admit_chosen(&lane)),
         Some(Reply::Full(_)) => None,
-        None | Some(Reply::Unknown | Reply::Throttled(_) | Reply::Quarantined | Reply::Deadly) => {
+        None | Some(Reply::Unknown | Reply::Throttled(_) | Reply::Held | Reply::Deadly) => {
             node.admit(&lane, patience, || has_room(node, &job)).await
         }
     };
--- a/crates/node/src/throttle.rs
+++ b/crates/node/src/throttle.rs
@@ -183,7 +183,7 @@
     let caller = Caller {
         service: &question.service,
         model: Some(&question.model),
-        remaining_time: question.remaining_time,
+        remaining_time: question.patience,
     };
     Some(node.returns.lock().schedule(&caller, outlook, now))
 }
@@ -201,7 +201,7 @@
     if let Some(best) = best.and_then(find) {
         rations.record_demand(best, now);
     }
-    if let Reply::Assigned(promise) = reply
+    if let Reply::Take(promise) = reply
         && let Some(taken) = find(promise.epoch)
     {
         rations.spend(taken);
@@ -217,7 +217,7 @@
         let limited = plea
             .claims
             .iter()
-            .filter_map(|told| Some((told.runner.clone(), throttles.find(&told.runner, told.incarnation)?)));
+            .filter_map(|told| Some((told.runner.clone(), throttles.find(&told.runner, told.life)?)));
         limited.collect()
     };
     if runners.is_empty() {
--- a/crates/node/src/tries.rs
+++ b/crates/node/src/tries.rs
@@ -78,8 +78,8 @@
 /// nothing, as this node knows.
 pub fn refuse_suspect(node: &Node, job: &Job, reply: Option<Reply>) -> Option<Refusal> {
     match reply {
-        Some(Reply::Assigned(_) | Reply::Full(_) | Reply::Throttled(_)) => None,
-        Some(Reply::Quarantined) => Some(Refusal::Held),
+        Some(Reply::Take(_) | Reply::Full(_) | Reply::Throttled(_)) => None,
+        Some(Reply::Held) => Some(Refusal::Held),
         Some(Reply::Deadly) => Some(Refusal::Deadly),
         Some(Reply::Unknown) | None => match suspects::rule(node, job) {
             Ruling::Run | Ruling::Trial => None,
@@ -91,8 +91,8 @@
 
 fn read_choice(reply: Option<Reply>) -> Option<Assignment> {
     match reply? {
-        Reply::Assigned(promise) => Some(promise),
-        Reply::Full(_) | Reply::Throttled(_) | Reply::Unknown | Reply::Quarantined | Reply::Deadly => None,
+        Reply::Take(promise) => Some(promise),
+        Reply::Full(_) | Reply::Throttled(_) | Reply::Unknown | Reply::Held | Reply::Deadly => None,
     }
 }
 
@@ -116,7 +116,7 @@
             return Err(Refusal::Deadly);
         }
         if !tries.tried.is_empty() {
-            let reply = dispatch::ask(node, job, Urgency::Retry, &tries.tried).await;
+            let reply = dispatch::ask(node, job, Urgency::Again, &tries.tried).await;
             if let Some(Reply::Throttled(wait)) = reply {
                 return Err(if tries.sent == 0 {
                     throttle::refuse(node, job, Millis(wait))
