--- a/crates/fleet/src/balance.rs
+++ b/crates/fleet/src/balance.rs
@@ -1,277 +1,294 @@
-//! Picking the runner for a request.
+//! Picks the runner for a request from what this node and the fleet have in flight.
 
 use std::collections::HashMap;
 
 use cottoncrank::{Millis, id};
 use rand::Rng;
 
-use crate::occupancy::View;
+use crate::occupancy::FleetLoad;
 use crate::runner::Runner;
 
-/// A runner that failed a request is passed over for this long, if others can
-/// take it. Long enough to cover the time in which a crash becomes known.
-pub const AVOID: Millis = Millis(2500);
+/// How long a runner is avoided after it failed a request, if others can run the request. It covers
+/// the time until a crash becomes known.
+pub const FAILURE_AVOID_TIME: Millis = Millis(2500);
 
-/// Where streams have begun and none of them gets on for this long, the runner is
-/// stalled. A pass of an engine with all slots in use and a full piece of a prompt
-/// takes some 0.11 s by the figures that engines publish, twice as long in a slow group.
-pub const STALLED: Millis = Millis(400);
+/// How long all streams of a runner may make no progress until it counts as stalled. By the speeds
+/// that engines publish, a pass with all slots in use and a full chunk of prefill takes about 0.11
+/// s, and twice as long in a slow group.
+pub const STALL_TIMEOUT: Millis = Millis(400);
 
-/// A runner that turns away this many requests in a row is passed over: one that is merely
-/// full takes some in between. It has nothing in flight, so it would get more than all others.
-const REFUSED: u32 = 2;
+/// The number of consecutive rejections after which a runner is avoided. A runner that is merely
+/// full accepts some requests in between. One that rejects everything has nothing in flight and
+/// would otherwise get more requests than all others.
+const MIN_REJECTIONS: u32 = 2;
 
-/// For how long it is passed over then; twice as long with each further one, up to [`AVOID`].
-const AVOID_REFUSED: Millis = Millis(300);
+/// How long a runner is avoided after [`MIN_REJECTIONS`]. The time doubles with each further
+/// rejection, up to [`FAILURE_AVOID_TIME`].
+const REJECTION_AVOID_TIME: Millis = Millis(300);
 
-/// What a node has seen of a runner.
+/// The observations of one runner by this node.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Record {
-    /// Requests of this node under way there.
+    /// Requests of this node in flight there.
     pub running: u32,
-    /// Streams of this node under way there that have begun.
+    /// Streams of this node in flight there that have delivered an event.
     streams: u32,
-    /// Until when it is passed over.
-    avoid: Millis,
-    /// When a request of this node last got something from there.
-    progress: Millis,
-    /// Requests of this node in a row that it turned away without naming a time.
-    refused: u32,
+    /// The runner is avoided until then.
+    avoid_until: Millis,
+    /// When a request of this node last received data from the runner.
+    last_progress: Millis,
+    /// Consecutive rejections of this node's requests without a retry time.
+    rejections: u32,
 }
 
-/// Where connections to this many runners of a hall in a row are not made in time,
-/// the way there is taken to be cut: two lost runners are seldom met in a row.
-pub const UNREACHED: u32 = 2;
+/// The number of consecutive connect timeouts to different runners of a hall after which the
+/// network path to it counts as cut. Two lost runners are seldom met in a row.
+pub const MIN_CONNECT_TIMEOUTS: u32 = 2;
 
-/// The runners of a hall to which the way seems cut are passed over for this long,
-/// if others can take the request. Then one is tried again.
-pub const AVOID_HALL: Millis = Millis(1000);
+/// How long the runners of a hall with a cut path are avoided, if others can run the request. After
+/// that, one is tried again.
+pub const HALL_AVOID_TIME: Millis = Millis(1000);
 
-/// What a node has seen of the way to a hall.
+/// The observations of the network path to a hall.
 #[derive(Clone, Copy, Debug, Default)]
-struct Way {
-    /// Connections in a row that were not made in time.
-    unreached: u32,
-    /// Until when its runners are passed over.
-    avoid: Millis,
+struct Path {
+    /// Consecutive connect timeouts.
+    connect_timeouts: u32,
+    /// The runners of the hall are avoided until then.
+    avoid_until: Millis,
 }
 
-/// What a node has seen of all runners.
+/// The observations of all runners by this node.
 #[derive(Clone, Debug, Default)]
 pub struct Ledger {
     records: HashMap<id::Runner, Record>,
-    ways: HashMap<id::Hall, Way>,
+    paths: HashMap<id::Hall, Path>,
 }
 
 impl Ledger {
-    /// A request is sent to a runner.
-    pub fn begin(&mut self, id: &id::Runner) {
+    /// Records that a request is sent to a runner.
+    pub fn begin_request(&mut self, id: &id::Runner) {
         self.records.entry(id.clone()).or_default().running += 1;
     }
 
-    /// A connection to a runner of a hall was made.
-    pub fn note_reached(&mut self, hall: &id::Hall) {
-        self.ways.remove(hall);
+    /// Records a connection made to a runner of a hall.
+    pub fn record_connect(&mut self, hall: &id::Hall) {
+        self.paths.remove(hall);
     }
 
-    /// A connection to a runner of a hall was not made in time.
-    pub fn note_unreached(&mut self, hall: &id::Hall, now: Millis) {
-        let way = self.ways.entry(hall.clone()).or_default();
-        way.unreached += 1;
-        if way.unreached >= UNREACHED {
-            way.avoid = now + AVOID_HALL;
+    /// Records a connect timeout to a runner of a hall.
+    pub fn record_connect_timeout(&mut self, hall: &id::Hall, now: Millis) {
+        let path = self.paths.entry(hall.clone()).or_default();
+        path.connect_timeouts += 1;
+        if path.connect_timeouts >= MIN_CONNECT_TIMEOUTS {
+            path.avoid_until = now + HALL_AVOID_TIME;
         }
     }
 
-    /// Whether nothing speaks against sending a request to a runner.
-    pub fn is_sound(&self, runner: &Runner, now: Millis) -> bool {
-        let way = self.ways.get(&runner.hall).copied().unwrap_or_default();
-        self.get(&runner.id).avoid <= now && way.avoid <= now && !self.is_stalled(&runner.id, now)
+    /// Whether a runner is neither avoided nor stalled, and the path to its hall not cut.
+    pub fn is_healthy(&self, runner: &Runner, now: Millis) -> bool {
+        let path = self.paths.get(&runner.hall).copied().unwrap_or_default();
+        self.get(&runner.id).avoid_until <= now
+            && path.avoid_until <= now
+            && !self.is_stalled(&runner.id, now)
     }
 
-    /// Whether streams have begun at a runner and none of them gets on.
+    /// Whether a runner has streams in flight and none of them makes progress.
     pub fn is_stalled(&self, id: &id::Runner, now: Millis) -> bool {
         let record = self.get(id);
-        record.streams > 0 && now >= record.progress + STALLED
+        record.streams > 0 && now >= record.last_progress + STALL_TIMEOUT
     }
 
-    /// A stream has begun at a runner.
+    /// Records the first event of a stream.
     pub fn begin_stream(&mut self, id: &id::Runner) {
         self.records.entry(id.clone()).or_default().streams += 1;
     }
 
-    /// A stream that had begun at a runner is over.
+    /// Records the end of a stream that had delivered an event.
     pub fn end_stream(&mut self, id: &id::Runner) {
         if let Some(record) = self.records.get_mut(id) {
             record.streams = record.streams.saturating_sub(1);
         }
     }
 
-    /// A request ended there.
-    pub fn end(&mut self, id: &id::Runner) {
+    /// Records the end of a request.
+    pub fn end_request(&mut self, id: &id::Runner) {
         if let Some(record) = self.records.get_mut(id) {
             record.running = record.running.saturating_sub(1);
         }
     }
 
-    /// A runner sent something of an answer.
-    pub fn progress(&mut self, id: &id::Runner, now: Millis) {
+    /// Records that a runner sent part of an answer.
+    pub fn record_progress(&mut self, id: &id::Runner, now: Millis) {
         let record = self.records.entry(id.clone()).or_default();
-        record.progress = now;
-        record.avoid = Millis(0);
-        record.refused = 0;
+        record.last_progress = now;
+        record.avoid_until = Millis(0);
+        record.rejections = 0;
     }
 
-    /// A runner turned a request away and named no time.
-    pub fn refuse(&mut self, id: &id::Runner, now: Millis) {
+    /// Records that a runner rejected a request without a retry time.
+    pub fn record_rejection(&mut self, id: &id::Runner, now: Millis) {
         let record = self.records.entry(id.clone()).or_default();
-        record.refused += 1;
-        if let Some(further) = record.refused.checked_sub(REFUSED) {
-            let span = Millis(AVOID_REFUSED.0 << further.min(8)).min(AVOID);
-            record.avoid = record.avoid.max(now + span);
+        record.rejections += 1;
+        if let Some(excess) = record.rejections.checked_sub(MIN_REJECTIONS) {
+            let span = Millis(REJECTION_AVOID_TIME.0 << excess.min(8)).min(FAILURE_AVOID_TIME);
+            record.avoid_until = record.avoid_until.max(now + span);
         }
     }
 
-    /// Whether a runner has sent nothing of any answer since `start`.
-    pub fn is_silent(&self, id: &id::Runner, start: Millis) -> bool {
-        self.get(id).progress < start
+    /// Whether a runner has sent no part of any answer since `start`.
+    pub fn is_silent_since(&self, id: &id::Runner, start: Millis) -> bool {
+        self.get(id).last_progress < start
     }
 
-    /// A runner gave no answer, or none that can be used.
-    pub fn blame(&mut self, id: &id::Runner, now: Millis) {
+    /// Records that a runner gave no answer, or no usable one.
+    pub fn record_failure(&mut self, id: &id::Runner, now: Millis) {
         let record = self.records.entry(id.clone()).or_default();
-        record.avoid = now + AVOID;
+        record.avoid_until = now + FAILURE_AVOID_TIME;
     }
 
-    /// A runner has started again under its id: what speaks against it was seen of its
-    /// former life. Requests in flight there count until their connections have ended.
-    pub fn restart(&mut self, id: &id::Runner) {
+    /// Clears the failures of a runner that has restarted under the same id, as they belong to its
+    /// previous incarnation. Requests in flight there count until their connections end.
+    pub fn record_restart(&mut self, id: &id::Runner) {
         if let Some(record) = self.records.get_mut(id) {
-            record.avoid = Millis(0);
-            record.refused = 0;
+            record.avoid_until = Millis(0);
+            record.rejections = 0;
             record.streams = 0;
         }
     }
 
-    /// Forgets a runner that is gone.
+    /// Removes a runner that is gone.
     pub fn forget(&mut self, id: &id::Runner) {
         self.records.remove(id);
     }
 
-    /// The runners that failed a request of this node lately, or at which its streams do
-    /// not get on.
+    /// Lists the runners that failed a request of this node lately, or that make no progress on its
+    /// streams.
     pub fn list_doubted(&self, now: Millis) -> impl Iterator<Item = &id::Runner> {
-        let doubted = move |id: &id::Runner, record: &Record| now < record.avoid || self.is_stalled(id, now);
+        let doubted =
+            move |id: &id::Runner, record: &Record| now < record.avoid_until || self.is_stalled(id, now);
         self.records.iter().filter(move |(id, record)| doubted(id, record)).map(|(id, _)| id)
     }
 
-    /// The runners that are passed over for having turned requests of this node away.
-    pub fn list_refusing(&self, now: Millis) -> impl Iterator<Item = &id::Runner> {
-        let refusing = move |record: &Record| record.refused >= REFUSED && now < record.avoid;
-        self.records.iter().filter(move |(_, record)| refusing(record)).map(|(id, _)| id)
+    /// Lists the runners that are avoided because they rejected requests of this node.
+    pub fn list_rejecting(&self, now: Millis) -> impl Iterator<Item = &id::Runner> {
+        let rejecting =
+            move |record: &Record| record.rejections >= MIN_REJECTIONS && now < record.avoid_until;
+        self.records.iter().filter(move |(_, record)| rejecting(record)).map(|(id, _)| id)
     }
 
-    /// The runners at which requests of this node are in flight, and how many.
+    /// Lists the runners with requests of this node in flight, and the number of these.
     pub fn list_busy(&self) -> impl Iterator<Item = (&id::Runner, u32)> {
         self.records.iter().map(|(id, record)| (id, record.running)).filter(|(_, running)| *running > 0)
     }
 
-    /// What was seen of a runner.
+    /// Returns the observations of a runner.
     pub fn get(&self, id: &id::Runner) -> Record {
         self.records.get(id).copied().unwrap_or_default()
     }
 }
 
-/// Up to this part of its slots in use, a runner is as good as an idle one: first
-/// events wait for prompts that are read, hardly for answers that are written.
-const EASY: f64 = 0.6;
+/// The utilization up to which a runner is as good as an idle one: first events wait for prefill,
+/// hardly for token generation.
+const LIGHT_UTILIZATION: f64 = 0.6;
 
-/// With this part of all slots in use, runners have no room: requests that find all
-/// slots of a runner taken wait for one, and are late.
-const FULL: f64 = 0.9;
+/// The utilization of all slots from which runners have no room. A request that finds all slots of
+/// a runner in use waits for one and is late.
+const MAX_UTILIZATION: f64 = 0.9;
 
-/// Picks among `candidates` that are not in `tried`: one that is not passed
-/// over, with few requests in flight.
+/// Picks a healthy runner with few requests in flight among the `candidates` that are not in
+/// `tried`, or an unhealthy one if no other is left.
 ///
-/// The hall does not count: a hall with few groups of a model would get more than
-/// its groups can take.
+/// The hall is ignored, because a hall with few groups of a model would otherwise get more requests
+/// than its groups can run.
 pub fn pick<'a>(
     candidates: &[&'a Runner],
     tried: &[id::Runner],
     ledger: &Ledger,
-    view: &View,
+    fleet_load: &FleetLoad,
     now: Millis,
     rng: &mut impl Rng,
 ) -> Option<&'a Runner> {
-    let fresh: Vec<&Runner> =
+    let untried: Vec<&Runner> =
         candidates.iter().copied().filter(|runner| !tried.contains(&runner.id)).collect();
-    let sound: Vec<&Runner> = fresh.iter().copied().filter(|runner| ledger.is_sound(runner, now)).collect();
-    let usable = if sound.is_empty() { fresh } else { sound };
-    match view.is_usable(now) {
-        true => pick_by_view(&usable, ledger, view, rng),
-        false => pick_by_own(&usable, ledger, rng),
+    let healthy: Vec<&Runner> =
+        untried.iter().copied().filter(|runner| ledger.is_healthy(runner, now)).collect();
+    let usable = if healthy.is_empty() { untried } else { healthy };
+    match fleet_load.is_usable(now) {
+        true => pick_by_fleet_load(&usable, ledger, fleet_load, rng),
+        false => pick_by_own_requests(&usable, ledger, rng),
     }
 }
 
-/// The one with the fewest requests of this node, else at random.
-fn pick_by_own<'a>(usable: &[&'a Runner], ledger: &Ledger, rng: &mut impl Rng) -> Option<&'a Runner> {
+/// Picks the runner with the fewest requests of this node, at random among equals.
+fn pick_by_own_requests<'a>(
+    usable: &[&'a Runner],
+    ledger: &Ledger,
+    rng: &mut impl Rng,
+) -> Option<&'a Runner> {
     let key = |runner: &&Runner| (ledger.get(&runner.id).running, rng.random::<u32>());
     usable.iter().copied().min_by_key(key)
 }
 
-/// Among those with the fewest requests of this node, one at random, less likely
-/// the fewer slots are free there. All that have many are equal: were the least busy
-/// one preferred, the prompts of many nodes would meet there before the next view.
-fn pick_by_view<'a>(
+/// Picks at random among the runners with the fewest requests of this node, weighted by their room.
+/// All runners with much room have equal weight: if the least busy one were preferred, the prompts
+/// of many nodes would meet there before the next in-flight report.
+fn pick_by_fleet_load<'a>(
     usable: &[&'a Runner],
     ledger: &Ledger,
-    view: &View,
+    fleet_load: &FleetLoad,
     rng: &mut impl Rng,
 ) -> Option<&'a Runner> {
-    let room = |runner: &&Runner| find_room(count(runner, ledger, view), runner.slots);
+    let room = |runner: &&Runner| compute_room(count(runner, ledger, fleet_load), runner.slots);
     let open: Vec<&Runner> = usable.iter().copied().filter(|runner| room(runner) > 0.0).collect();
     let Some(fewest) = open.iter().map(|runner| ledger.get(&runner.id).running).min() else {
-        return usable.iter().copied().min_by_key(|runner| count(runner, ledger, view));
+        return usable.iter().copied().min_by_key(|runner| count(runner, ledger, fleet_load));
     };
     let best: Vec<&Runner> =
         open.into_iter().filter(|runner| ledger.get(&runner.id).running == fewest).collect();
-    let mut point = rng.random::<f64>() * best.iter().map(room).sum::<f64>();
+    let mut target = rng.random::<f64>() * best.iter().map(room).sum::<f64>();
     let reached = best.iter().find(|runner| {
-        point -= room(runner);
-        point < 0.0
+        target -= room(runner);
+        target < 0.0
     });
     reached.or(best.first()).copied()
 }
 
-/// Whether runners have room for one more request; none if nobody knows.
-pub fn has_room(candidates: &[&Runner], ledger: &Ledger, view: &View, now: Millis) -> Option<bool> {
-    if !view.is_usable(now) {
+/// Whether runners have room for one more request; `None` if the fleet load is unknown.
+pub fn has_room(
+    candidates: &[&Runner],
+    ledger: &Ledger,
+    fleet_load: &FleetLoad,
+    now: Millis,
+) -> Option<bool> {
+    if !fleet_load.is_usable(now) {
         return None;
     }
-    measure(candidates, ledger, now, |runner| count(runner, ledger, view)).map(|used| used < FULL)
+    measure_utilization(candidates, ledger, now, |runner| count(runner, ledger, fleet_load))
+        .map(|used| used < MAX_UTILIZATION)
 }
 
-/// The part of the slots of sound runners that is in use, none if they have none.
-fn measure(
+/// Returns the fraction of the slots of healthy runners in use; `None` if they have no slots.
+fn measure_utilization(
     candidates: &[&Runner],
     ledger: &Ledger,
     now: Millis,
     count: impl Fn(&Runner) -> u32,
 ) -> Option<f64> {
-    let sound = candidates.iter().filter(|runner| ledger.is_sound(runner, now));
-    let (used, slots) = sound
+    let healthy = candidates.iter().filter(|runner| ledger.is_healthy(runner, now));
+    let (used, slots) = healthy
         .fold((0, 0), |(used, slots), runner| (used + count(runner).min(runner.slots), slots + runner.slots));
     (slots > 0).then(|| f64::from(used) / f64::from(slots))
 }
 
-/// How much room a runner has, from 0 to 1.
-fn find_room(busy: u32, slots: u32) -> f64 {
-    let used = f64::from(busy) / f64::from(slots.max(1));
-    ((1.0 - used) / (1.0 - EASY)).clamp(0.0, 1.0)
+/// Returns the room of a runner, from 0 to 1.
+fn compute_room(running: u32, slots: u32) -> f64 {
+    let used = f64::from(running) / f64::from(slots.max(1));
+    ((1.0 - used) / (1.0 - LIGHT_UTILIZATION)).clamp(0.0, 1.0)
 }
 
-/// The requests in flight at a runner, over the whole fleet.
-fn count(runner: &Runner, ledger: &Ledger, view: &View) -> u32 {
-    let others = runner.membership.as_ref().map_or(0, |place| view.count(place.epoch));
+/// Returns the number of requests in flight at a runner, over the whole fleet.
+fn count(runner: &Runner, ledger: &Ledger, fleet_load: &FleetLoad) -> u32 {
+    let others = runner.membership.as_ref().map_or(0, |place| fleet_load.count(place.epoch));
     others + ledger.get(&runner.id).running
 }
--- a/crates/fleet/src/dispatch.rs
+++ b/crates/fleet/src/dispatch.rs
@@ -1,12 +1,12 @@
-//! Which group takes a request, chosen by one node of a hall for all nodes of the hall.
+//! Picks the group for each request, on the collector of a hall for all nodes of that hall.
 //!
-//! The load this answers: hundreds of nodes, each with a few requests a second, and
-//! groups of which four fifths of the slots are in use. Chosen by each node for itself,
-//! from reports half a second old, some groups get more requests than slots while others
-//! have room, and a third of the first events is late. The collector of a hall hears of
-//! each request of its hall when it begins and when it ends; it knows what is in flight
-//! at the groups of its own hall almost exactly, and so it sends requests there, as long
-//! as the groups of other halls do not promise an earlier first event.
+//! The load this is built for: hundreds of nodes with a few requests per second each, and groups
+//! with four fifths of their slots in use. If each node picked by itself from reports half a second
+//! old, some groups would get more requests than slots while others have room, and a third of the
+//! first events would be late. The collector is informed of each request of its hall when it begins
+//! and when it ends, so it knows almost exactly what is in flight at the groups of its own hall. It
+//! therefore sends requests there unless a group of another hall is predicted to deliver the first
+//! event earlier.
 
 use std::collections::HashMap;
 
@@ -19,291 +19,309 @@
 use crate::occupancy::{Load, Report};
 use crate::runner::{Epoch, Runner};
 
-/// The share of its time that an engine with work to write spends on prompts.
-const READING: f64 = 0.5;
+/// The fraction of its time that a busy engine spends on prefill.
+const PREFILL_SHARE: f64 = 0.5;
 
-/// The first event comes two passes after the prompt is read: the one under way has to
-/// end, and the event's own tokens are written in the next.
-const PASSES: f64 = 2.0;
+/// The number of engine passes between the end of prefill and the first event: the current pass has
+/// to end, and the event's own tokens are generated in the next one.
+const FIRST_EVENT_PASSES: f64 = 2.0;
 
-/// How much later a first event from another hall is taken to be, in milliseconds. What
-/// is in flight there is known from reports some 0.2 s old, in which a busy group begins
-/// three requests; the way there and back takes three.
-const AWAY: f64 = 20.0;
+/// The delay added to the prediction for a group of another hall, in milliseconds. In-flight counts
+/// of other halls are about 0.2 s old, and a busy group begins three requests in that time; the
+/// round trip takes three milliseconds.
+const OTHER_HALL_PENALTY: f64 = 20.0;
 
-/// The same for a hall whose collector has not told for a while: the way there may be cut,
-/// and what is in flight there is not known.
-const SILENT: f64 = 1000.0;
+/// The delay added for a group of a hall whose collector has sent no report for a while, in
+/// milliseconds: the network path may be cut, and the in-flight count there is unknown.
+const SILENT_HALL_PENALTY: f64 = 1000.0;
 
-/// The same for each node that doubts a group: it failed a request of that node, or none
-/// of that node's streams gets on there.
-const DOUBT: f64 = 200.0;
+/// The delay added for each node that doubts a group, in milliseconds. A node doubts a group that
+/// failed one of its requests or that makes no progress on any of its streams.
+const DOUBT_PENALTY: f64 = 200.0;
 
-/// Where an engine does not say how long its answers are, a slot is in use for so long,
-/// in milliseconds.
-const STREAM_UNSET: f64 = 1000.0;
+/// How long a request occupies a slot if the engine does not publish the length of its answers, in
+/// milliseconds.
+const DEFAULT_STREAM_TIME: f64 = 1000.0;
 
-/// A request that cannot be in time goes to a group of which less than this part of the
-/// slots is in use: it delays nobody there, and its caller would come back later still.
-const SPARE: f64 = 0.6;
+/// The utilization below which a group accepts a request that cannot be on time: it delays no other
+/// request there, and a caller that was rejected would come back even later.
+const SPARE_UTILIZATION: f64 = 0.6;
 
-/// How far one first event moves what is taken off the expectation, in milliseconds. An
-/// engine that takes a tenth of a second longer than published is known after some
+/// The step by which one sample moves the correction of the predicted delay, in milliseconds. With
+/// it, an engine that takes a tenth of a second longer than published is corrected after about
 /// twenty requests.
-const STEP: f64 = 8.0;
+const CORRECTION_STEP: f64 = 8.0;
 
-/// This part of the first events is to come within what was expected and what is taken off.
-/// Where more requests come than can be in time, those let in are at the very limit: by the
-/// median half of them would be late.
-const SURE: f64 = 0.75;
+/// The fraction of first events that has to arrive within the corrected prediction. Under overload,
+/// admitted requests are right at the limit, so correcting by the median would make half of them
+/// late.
+const ON_TIME_FRACTION: f64 = 0.75;
 
-/// What first events come later than expected counts for at most this part of the time in
-/// which one is wanted: a wrong expectation does not turn everybody away.
-const LATER: f64 = 0.5;
+/// The largest correction, as a fraction of the time within which the first event is needed, so
+/// that a wrong prediction does not reject every request.
+const MAX_CORRECTION_FRACTION: f64 = 0.5;
 
 /// How soon a request needs its first event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Urgency {
-    /// It is in time within so many milliseconds.
+    /// Needs it within this many milliseconds.
     Within(u64),
-    /// It was sent to a runner that failed it: it goes on wherever it can.
+    /// A retry after a runner failed the request: any available group is accepted.
     Again,
 }
 
-/// A question for a group.
+/// Asks the collector to pick a group for a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Question {
-    /// What the asking node has in flight, without this request.
+pub struct Query {
+    /// The in-flight report of the asking node, without this request.
     pub report: Report,
     /// The service.
     pub service: id::Service,
     /// The model.
     pub model: id::Model,
-    /// The tokens of the prompt; 0 if unknown.
+    /// The number of prompt tokens; 0 if unknown.
     pub prompt: u32,
     /// How soon the first event is needed.
     pub urgency: Urgency,
-    /// How long its caller still waits; none if that is not said.
+    /// How long the caller still waits, if known.
     pub patience: Option<Millis>,
-    /// Groups that were tried.
+    /// Groups that were tried already.
     pub tried: Vec<Epoch>,
-    /// Groups whose heads want no requests from the asking node.
+    /// Groups whose heads are backing off from the asking node.
     pub unwilling: Vec<Epoch>,
-    /// What the request has in common with others that are the same.
+    /// Identifies requests with the same content.
     pub fingerprint: Fingerprint,
-    /// First events that came to the asking node since it last asked.
+    /// The samples that the asking node took since its last query.
     pub samples: Vec<Sample>,
 }
 
-impl Question {
-    /// Whether a head has not said that it wants no requests from the asking node. One that
-    /// turns all away has nothing in flight, and would look best.
-    pub fn is_welcome_at(&self, head: &Runner) -> bool {
+impl Query {
+    /// Whether a head is not backing off from the asking node. A head that rejects everything has
+    /// nothing in flight and would otherwise look like the best one.
+    pub fn allows_head(&self, head: &Runner) -> bool {
         head.membership.as_ref().is_none_or(|place| !self.unwilling.contains(&place.epoch))
     }
 }
 
-/// How the first event of a request that went where it was told to compares with what was
-/// expected.
+/// A measured first-event delay compared with the predicted one, for a request that went to its
+/// assigned group.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Sample {
     /// The service.
     pub service: id::Service,
     /// The model.
     pub model: id::Model,
-    /// How much later it came, in milliseconds; negative if it came sooner.
+    /// The measured delay minus the predicted one, in milliseconds; negative if the event came
+    /// early.
     pub later: i64,
 }
 
-/// A group that takes a request.
+/// The group chosen for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Promise {
-    /// The request goes to the head of this forming of the group.
+pub struct Assignment {
+    /// The epoch of the group; the request goes to its head.
     pub epoch: Epoch,
-    /// How long its first event should take by the published figures of the engine, in
-    /// milliseconds.
+    /// The first-event delay predicted from the engine's published speed, in milliseconds.
     pub expected: u64,
 }
 
-/// The answer to it.
+/// The answer to a [`Query`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Reply {
-    /// A group takes it.
-    Take(Promise),
-    /// No group can take it in time: the earliest first event is so many milliseconds
-    /// away.
+    /// The request is assigned to a group.
+    Take(Assignment),
+    /// No group can deliver the first event in time; the earliest would take this many
+    /// milliseconds.
     Full(u64),
-    /// Nothing can be said: no group of the model is known, or too little of what is in
-    /// flight.
+    /// No answer is possible: no group of the model is known, or too few nodes have sent reports.
     Unknown,
-    /// All groups that could take it are at the rate that their heads take: the next place is so
-    /// many milliseconds away.
+    /// Every group that could run the request has reached the rate limit of its head; the next
+    /// request may be sent in this many milliseconds.
     Throttled(u64),
-    /// Runners have ended under it, and it is not let run at present: another run of it is
-    /// undecided, or only one group is left.
+    /// The request is quarantined. Runners have crashed while executing it, and it may not run at
+    /// present: the outcome of another run of it is open, or only one group is left.
     Held,
-    /// It ends the runners that run it.
+    /// The request crashes the runner that executes it.
     Deadly,
 }
 
-/// Prompts sent to a group that it may not have read yet.
+/// Prompts sent to a group that it may not have processed yet.
 #[derive(Clone, Copy, Debug)]
 struct Backlog {
-    /// How long reading them takes.
-    millis: f64,
+    /// How long the prefill of these prompts takes, in milliseconds.
+    duration: f64,
     since: Millis,
 }
 
 impl Backlog {
-    fn left(&self, now: Millis) -> f64 {
-        (self.millis - now.since(self.since).0 as f64 * READING).max(0.0)
+    fn remaining(&self, now: Millis) -> f64 {
+        (self.duration - now.since(self.since).0 as f64 * PREFILL_SHARE).max(0.0)
     }
 }
 
-/// The groups of one model, and how fast they are.
-pub struct Choice<'a> {
-    /// The hall that is chosen for.
+/// The groups that serve a model, and the speed of their engine.
+pub struct Candidates<'a> {
+    /// The hall of the nodes that send the requests.
     pub hall: &'a id::Hall,
-    /// Halls whose nodes do not tell this one what they have in flight.
-    pub silent: &'a [id::Hall],
-    /// The heads that take requests.
+    /// Halls whose collectors have sent no recent report to this node.
+    pub silent_halls: &'a [id::Hall],
+    /// The heads that accept requests.
     pub heads: &'a [&'a Runner],
     /// The model.
     pub model: &'a Model,
-    /// How fast the engine is.
+    /// The speed of the engine.
     pub speed: &'a Speed,
-    /// Groups that a suspected request is kept away from: another one has a run there.
-    pub trials: &'a [Epoch],
-    /// Groups that have had as many requests as their heads take, and for how long they get none.
-    pub spent: &'a [(Epoch, Millis)],
+    /// Groups with a trial run of another suspected request; a suspected request is kept away from
+    /// them.
+    pub trial_groups: &'a [Epoch],
+    /// Groups whose heads have reached their rate limit, each with the time until the next request.
+    pub rate_limited: &'a [(Epoch, Millis)],
 }
 
 /// The outcome of a choice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Chosen {
+pub struct Selection {
     /// The answer.
     pub reply: Reply,
-    /// The group that is best, whether or not it may get a request now.
+    /// The best group, whether or not its rate limit permits a request now.
     pub best: Option<Epoch>,
 }
 
-impl Choice<'_> {
-    /// For how long a group gets no request, if its head has had as many as it takes.
-    fn find_spent(&self, epoch: Epoch) -> Option<Millis> {
-        self.spent.iter().find(|(spent, _)| *spent == epoch).map(|(_, wait)| *wait)
+impl Candidates<'_> {
+    /// Returns the time until a group may get a request, if its head has reached its rate limit.
+    fn find_rate_limit_wait(&self, epoch: Epoch) -> Option<Millis> {
+        self.rate_limited.iter().find(|(limited, _)| *limited == epoch).map(|(_, wait)| *wait)
     }
 
-    /// Whether nobody tells what is in flight at this head's hall.
+    /// Whether the in-flight counts of this head's hall are unknown.
     fn is_silent(&self, head: &Runner) -> bool {
-        self.silent.contains(&head.hall)
+        self.silent_halls.contains(&head.hall)
     }
 }
 
-/// What a group promises a request.
+/// The predicted performance of a group for a request.
 #[derive(Clone, Copy, Debug)]
 struct Rating {
-    /// How long its first event should take, in milliseconds.
+    /// The predicted first-event delay, in milliseconds.
     expected: f64,
-    /// The same, with what speaks against the group counted as time.
+    /// The predicted delay plus penalties, in milliseconds.
     wait: f64,
-    /// Decides between groups that promise the same.
-    tie: u32,
+    /// Decides at random between groups with equal waits.
+    tie_breaker: u32,
     epoch: Epoch,
-    /// The part of its slots in use; all of them where the way there seems cut: its hall does
-    /// not tell, and a request has failed there lately. It would fail there first, and then
-    /// meet groups that are full.
-    used: f64,
-    /// For how long it gets no request, if its head has had as many as it takes.
-    spent: Option<Millis>,
+    /// The fraction of its slots in use. It is 1.0 if the hall sends no reports and a request
+    /// failed there lately: the path is probably cut, so the request would fail there first and
+    /// then find other groups full.
+    utilization: f64,
+    /// The time until the group may get a request, if its head has reached its rate limit.
+    rate_limit_wait: Option<Millis>,
 }
 
-/// What the node that chooses remembers of prompts and of first events.
+/// Predicts first-event delays from prompt backlogs and measured samples.
 #[derive(Clone, Debug, Default)]
 pub struct Dispatcher {
     backlogs: HashMap<Epoch, Backlog>,
-    /// How much later than expected the first events of a model come, in milliseconds.
-    later: HashMap<id::Service, HashMap<id::Model, f64>>,
+    /// How much later than predicted first events come, by service and model, in milliseconds.
+    corrections: HashMap<id::Service, HashMap<id::Model, f64>>,
 }
 
 impl Dispatcher {
-    /// Takes in how the first event of a request compares with what was expected.
+    /// Updates the correction of a model with a sample.
     ///
-    /// Engines publish how they step and read, but not what they need besides. Where that
-    /// is a tenth of a second, requests were let in until all came a tenth too late.
-    pub fn learn(&mut self, sample: &Sample) {
-        let models = self.later.entry(sample.service.clone()).or_default();
-        let later = models.entry(sample.model.clone()).or_default();
-        *later += STEP * if sample.later as f64 > *later { SURE } else { SURE - 1.0 };
+    /// Engines publish their step and prefill times but no other overhead. Without the correction,
+    /// an overhead of a tenth of a second let in requests until every first event was that late.
+    pub fn record_sample(&mut self, sample: &Sample) {
+        let models = self.corrections.entry(sample.service.clone()).or_default();
+        let correction = models.entry(sample.model.clone()).or_default();
+        *correction += CORRECTION_STEP
+            * if sample.later as f64 > *correction { ON_TIME_FRACTION } else { ON_TIME_FRACTION - 1.0 };
     }
 
-    /// How much later than expected the first event of a request comes at present.
-    fn find_later(&self, question: &Question) -> f64 {
-        let models = self.later.get(&question.service);
-        models.and_then(|models| models.get(&question.model)).copied().unwrap_or(0.0)
+    /// Returns how much later than predicted first events of this model come at present.
+    fn find_correction(&self, query: &Query) -> f64 {
+        let models = self.corrections.get(&query.service);
+        models.and_then(|models| models.get(&query.model)).copied().unwrap_or(0.0)
     }
 
     /// Chooses a group for a request.
     pub fn choose(
         &mut self,
-        choice: &Choice,
-        question: &Question,
+        candidates: &Candidates,
+        query: &Query,
         load: impl Fn(Epoch) -> Load,
         now: Millis,
         rng: &mut impl Rng,
-    ) -> Chosen {
-        self.backlogs.retain(|_, backlog| backlog.left(now) > 0.0);
-        let reading = time_reading(choice, question.prompt);
-        let willing = choice.heads.iter().copied().filter(|head| question.is_welcome_at(head));
-        let places = willing.filter_map(|head| Some((head, head.membership.as_ref()?.epoch)));
-        let fresh = places.filter(|(_, epoch)| !question.tried.contains(epoch));
-        let rated = fresh.map(|(head, epoch)| {
+    ) -> Selection {
+        self.backlogs.retain(|_, backlog| backlog.remaining(now) > 0.0);
+        let prefill = estimate_prefill_time(candidates, query.prompt);
+        let allowed = candidates.heads.iter().copied().filter(|head| query.allows_head(head));
+        let epochs = allowed.filter_map(|head| Some((head, head.membership.as_ref()?.epoch)));
+        let untried = epochs.filter(|(_, epoch)| !query.tried.contains(epoch));
+        let rated = untried.map(|(head, epoch)| {
             let load = load(epoch);
-            let expected = self.expect(choice, head, epoch, load, now) + reading;
-            let wait = expected + penalize(choice, head, load);
-            let cut = choice.is_silent(head) && load.doubts > 0;
-            let used = if cut { 1.0 } else { part_used(head, load) };
-            Rating { expected, wait, tie: rng.random(), epoch, used, spent: choice.find_spent(epoch) }
+            let expected = self.predict_delay(candidates, head, epoch, load, now) + prefill;
+            let wait = expected + compute_penalty(candidates, head, load);
+            let is_unreachable = candidates.is_silent(head) && load.doubts > 0;
+            let utilization = if is_unreachable { 1.0 } else { compute_utilization(head, load) };
+            Rating {
+                expected,
+                wait,
+                tie_breaker: rng.random(),
+                epoch,
+                utilization,
+                rate_limit_wait: candidates.find_rate_limit_wait(epoch),
+            }
         });
-        let rated: Vec<Rating> = keep_apart(rated.collect(), choice.trials);
+        let rated: Vec<Rating> = exclude_trial_groups(rated.collect(), candidates.trial_groups);
         let best = pick_earliest(rated.iter()).map(|rating| rating.epoch);
-        Chosen { reply: self.reply(&rated, question, reading, now), best }
+        Selection { reply: self.choose_reply(&rated, query, prefill, now), best }
     }
 
-    /// The answer to a question, where these groups could take the request but for the rates of
-    /// their heads, and reading its prompt takes `reading` milliseconds.
-    fn reply(&mut self, rated: &[Rating], question: &Question, reading: f64, now: Millis) -> Reply {
-        let open: Vec<&Rating> = rated.iter().filter(|rating| rating.spent.is_none()).collect();
+    /// Returns the answer to a query, given the groups that could run the request apart from their
+    /// rate limits, and the prefill time of its prompt in milliseconds.
+    fn choose_reply(&mut self, rated: &[Rating], query: &Query, prefill: f64, now: Millis) -> Reply {
+        let open: Vec<&Rating> = rated.iter().filter(|rating| rating.rate_limit_wait.is_none()).collect();
         let Some(best) = pick_earliest(open.iter().copied()) else {
-            let soonest = rated.iter().filter_map(|rating| rating.spent).min();
+            let soonest = rated.iter().filter_map(|rating| rating.rate_limit_wait).min();
             return soonest.map_or(Reply::Unknown, |wait| Reply::Throttled(wait.0));
         };
-        let later = self.find_later(question);
-        let fits = |rating: &&Rating| match question.urgency {
-            Urgency::Within(millis) => rating.wait + later.min(millis as f64 * LATER) <= millis as f64,
+        let correction = self.find_correction(query);
+        let fits = |rating: &&Rating| match query.urgency {
+            Urgency::Within(millis) => {
+                rating.wait + correction.min(millis as f64 * MAX_CORRECTION_FRACTION) <= millis as f64
+            }
             Urgency::Again => true,
         };
-        let has_room = |rating: &&Rating| rating.used < SPARE;
-        let taken = Some(best).filter(fits).or_else(|| pick_earliest(open.into_iter().filter(has_room)));
-        let Some(Rating { epoch, expected, .. }) = taken.copied() else {
-            return Reply::Full((best.wait + later).max(0.0) as u64);
+        let has_room = |rating: &&Rating| rating.utilization < SPARE_UTILIZATION;
+        let chosen = Some(best).filter(fits).or_else(|| pick_earliest(open.into_iter().filter(has_room)));
+        let Some(Rating { epoch, expected, .. }) = chosen.copied() else {
+            return Reply::Full((best.wait + correction).max(0.0) as u64);
         };
-        let left = self.backlogs.get(&epoch).map_or(0.0, |backlog| backlog.left(now));
-        self.backlogs.insert(epoch, Backlog { millis: left + reading, since: now });
-        Reply::Take(Promise { epoch, expected: expected as u64 })
+        let remaining = self.backlogs.get(&epoch).map_or(0.0, |backlog| backlog.remaining(now));
+        self.backlogs.insert(epoch, Backlog { duration: remaining + prefill, since: now });
+        Reply::Take(Assignment { epoch, expected: expected as u64 })
     }
 
-    /// How long the first event of a request with an empty prompt should take there.
-    fn expect(&self, choice: &Choice, head: &Runner, epoch: Epoch, load: Load, now: Millis) -> f64 {
-        let backlog = self.backlogs.get(&epoch).map_or(0.0, |backlog| backlog.left(now));
-        let pass = time_pass(choice, load.running.min(head.slots));
-        let over = (load.running + 1).saturating_sub(head.slots);
-        let slot = f64::from(over) * time_stream(choice, head.slots) / f64::from(head.slots.max(1));
-        backlog + PASSES * pass + slot
+    /// Predicts the first-event delay of a request with an empty prompt, in milliseconds.
+    fn predict_delay(
+        &self,
+        candidates: &Candidates,
+        head: &Runner,
+        epoch: Epoch,
+        load: Load,
+        now: Millis,
+    ) -> f64 {
+        let backlog = self.backlogs.get(&epoch).map_or(0.0, |backlog| backlog.remaining(now));
+        let pass_time = estimate_pass_time(candidates, load.running.min(head.slots));
+        let waiting = (load.running + 1).saturating_sub(head.slots);
+        let slot_wait =
+            f64::from(waiting) * estimate_stream_time(candidates, head.slots) / f64::from(head.slots.max(1));
+        backlog + FIRST_EVENT_PASSES * pass_time + slot_wait
     }
 }
 
-/// Leaves out the groups that have a run of another suspected request, if there are others.
-fn keep_apart(rated: Vec<Rating>, trials: &[Epoch]) -> Vec<Rating> {
+/// Removes groups that have a trial run of another suspected request, unless none would be left.
+fn exclude_trial_groups(rated: Vec<Rating>, trials: &[Epoch]) -> Vec<Rating> {
     let is_apart = |rating: &Rating| !trials.contains(&rating.epoch);
     match trials.is_empty() || !rated.iter().any(is_apart) {
         true => rated,
@@ -311,46 +329,47 @@
     }
 }
 
-/// What speaks against a group, as so many milliseconds.
-fn penalize(choice: &Choice, head: &Runner, load: Load) -> f64 {
-    let away = match head.hall == *choice.hall {
+/// Returns the delay by which a group is penalized, in milliseconds.
+fn compute_penalty(candidates: &Candidates, head: &Runner, load: Load) -> f64 {
+    let hall_penalty = match head.hall == *candidates.hall {
         true => 0.0,
-        false if choice.is_silent(head) => SILENT,
-        false => AWAY,
+        false if candidates.is_silent(head) => SILENT_HALL_PENALTY,
+        false => OTHER_HALL_PENALTY,
     };
-    away + DOUBT * f64::from(load.doubts)
+    hall_penalty + DOUBT_PENALTY * f64::from(load.doubts)
 }
 
 fn pick_earliest<'a>(ratings: impl Iterator<Item = &'a Rating>) -> Option<&'a Rating> {
-    ratings.min_by(|a, b| a.wait.total_cmp(&b.wait).then(a.tie.cmp(&b.tie)))
+    ratings.min_by(|a, b| a.wait.total_cmp(&b.wait).then(a.tie_breaker.cmp(&b.tie_breaker)))
 }
 
-/// The part of its slots that a group has in use.
-fn part_used(head: &Runner, load: Load) -> f64 {
+/// Returns the fraction of a group's slots that is in use; above 1 if requests wait.
+fn compute_utilization(head: &Runner, load: Load) -> f64 {
     f64::from(load.running) / f64::from(head.slots.max(1))
 }
 
-/// How long a group reads a prompt, in milliseconds.
-fn time_reading(choice: &Choice, tokens: u32) -> f64 {
-    if choice.speed.prompt_tokens_per_ms <= 0.0 {
+/// Returns the time that a group takes to prefill a prompt, in milliseconds.
+fn estimate_prefill_time(candidates: &Candidates, tokens: u32) -> f64 {
+    if candidates.speed.prompt_tokens_per_ms <= 0.0 {
         0.0
     } else {
-        choice.model.pace * f64::from(tokens) / choice.speed.prompt_tokens_per_ms
+        candidates.model.pace * f64::from(tokens) / candidates.speed.prompt_tokens_per_ms
     }
 }
 
-/// How long a step of a group takes that writes for `running` requests, in milliseconds.
-fn time_step(choice: &Choice, running: u32) -> f64 {
-    choice.model.pace * (choice.speed.step_ms + choice.speed.per_request_ms * f64::from(running))
+/// Returns the time of one step of a group that generates tokens for `running` requests, in
+/// milliseconds.
+fn estimate_step_time(candidates: &Candidates, running: u32) -> f64 {
+    candidates.model.pace * (candidates.speed.step_ms + candidates.speed.per_request_ms * f64::from(running))
 }
 
-/// How long a pass takes.
-fn time_pass(choice: &Choice, running: u32) -> f64 {
-    time_step(choice, running) * choice.speed.stride
+/// Returns the time of one pass, in milliseconds.
+fn estimate_pass_time(candidates: &Candidates, running: u32) -> f64 {
+    estimate_step_time(candidates, running) * candidates.speed.stride
 }
 
-/// How long a slot is in use by one request where all are.
-fn time_stream(choice: &Choice, slots: u32) -> f64 {
-    let time = choice.speed.usual_answer_tokens * time_step(choice, slots);
-    if time > 0.0 { time } else { STREAM_UNSET }
+/// Returns how long one request occupies a slot while all slots are in use, in milliseconds.
+fn estimate_stream_time(candidates: &Candidates, slots: u32) -> f64 {
+    let time = candidates.speed.usual_answer_tokens * estimate_step_time(candidates, slots);
+    if time > 0.0 { time } else { DEFAULT_STREAM_TIME }
 }
--- a/crates/fleet/src/event.rs
+++ b/crates/fleet/src/event.rs
@@ -1,93 +1,93 @@
-//! Splitting a stream of server-sent events into whole events with their ids.
+//! Splits a stream of server-sent events into whole events with their ids.
 
 use bytes::{Bytes, BytesMut};
 use thiserror::Error;
 
-/// The largest event that is held until its end, in bytes. Far above what
-/// engines send; it bounds memory against a server that never ends an event.
-pub const EVENT_MAX: usize = 256 * 1024;
+/// The largest event that is buffered, in bytes. It is far above what engines send and bounds
+/// memory if a server never ends an event.
+pub const MAX_EVENT_BYTES: usize = 256 * 1024;
 
-/// Why a stream cannot be passed on any further.
+/// Why a stream cannot be forwarded any further.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum EventError {
-    /// An event is larger than [`EVENT_MAX`].
-    #[error("an event is larger than {EVENT_MAX} bytes")]
+    /// An event is larger than [`MAX_EVENT_BYTES`].
+    #[error("an event is larger than {MAX_EVENT_BYTES} bytes")]
     TooLarge,
     /// Events are missing before this one.
     #[error("event {found} follows event {last}")]
     Gap {
-        /// The id of the last event passed on.
+        /// The id of the last event that was forwarded.
         last: u64,
-        /// The id found.
+        /// The id of the event that followed.
         found: u64,
     },
 }
 
-/// Takes pieces of a stream as they come and gives whole, new events back.
+/// Receives a stream in chunks and returns whole, new events.
 #[derive(Debug, Default)]
 pub struct Splitter {
-    rest: BytesMut,
-    last: Option<u64>,
+    pending: BytesMut,
+    last_id: Option<u64>,
 }
 
 impl Splitter {
-    /// A splitter for a stream that goes on after event `last`.
-    pub fn after(last: Option<u64>) -> Splitter {
-        Splitter { rest: BytesMut::new(), last }
+    /// Returns a splitter for a stream that is resumed after event `last`.
+    pub fn resume_after(last: Option<u64>) -> Splitter {
+        Splitter { pending: BytesMut::new(), last_id: last }
     }
 
-    /// The id of the last event given back.
-    pub fn last(&self) -> Option<u64> {
-        self.last
+    /// Returns the id of the last event returned.
+    pub fn last_id(&self) -> Option<u64> {
+        self.last_id
     }
 
-    /// Whether the bytes so far end with a whole event.
+    /// Whether the bytes received so far end with a whole event.
     pub fn is_at_boundary(&self) -> bool {
-        self.rest.is_empty()
+        self.pending.is_empty()
     }
 
-    /// Adds a piece. Returns the whole events in it that were not given back
-    /// before, as they came.
+    /// Adds a chunk and returns the whole events in it, unchanged, without those that were returned
+    /// before.
     pub fn push(&mut self, piece: &[u8]) -> Result<Bytes, EventError> {
-        self.rest.extend_from_slice(piece);
-        let mut fresh = BytesMut::new();
-        while let Some(end) = find_end(&self.rest) {
-            let event = self.rest.split_to(end);
+        self.pending.extend_from_slice(piece);
+        let mut new_events = BytesMut::new();
+        while let Some(end) = find_end(&self.pending) {
+            let event = self.pending.split_to(end);
             if self.is_new(&event)? {
-                fresh.extend_from_slice(&event);
+                new_events.extend_from_slice(&event);
             }
         }
-        match self.rest.len() > EVENT_MAX {
+        match self.pending.len() > MAX_EVENT_BYTES {
             true => Err(EventError::TooLarge),
-            false => Ok(fresh.freeze()),
+            false => Ok(new_events.freeze()),
         }
     }
 
     fn is_new(&mut self, event: &[u8]) -> Result<bool, EventError> {
         let Some(found) = find_id(event) else { return Ok(true) };
-        match self.last {
+        match self.last_id {
             Some(last) if found <= last => Ok(false),
             Some(last) if found > last + 1 => Err(EventError::Gap { last, found }),
             _ => {
-                self.last = Some(found);
+                self.last_id = Some(found);
                 Ok(true)
             }
         }
     }
 }
 
-/// Where the first event ends, its blank line included.
+/// Returns the end of the first event, including its blank line.
 fn find_end(bytes: &[u8]) -> Option<usize> {
     let mut line_start = 0;
-    for (at, byte) in bytes.iter().enumerate() {
+    for (position, byte) in bytes.iter().enumerate() {
         if *byte != b'\n' {
             continue;
         }
-        let line = &bytes[line_start..at];
+        let line = &bytes[line_start..position];
         if line.is_empty() || line == b"\r" {
-            return Some(at + 1);
+            return Some(position + 1);
         }
-        line_start = at + 1;
+        line_start = position + 1;
     }
     None
 }
--- a/crates/fleet/src/occupancy.rs
+++ b/crates/fleet/src/occupancy.rs
@@ -1,69 +1,68 @@
-//! How many requests are in flight at each group, over the whole fleet.
+//! In-flight requests at each group, over the whole fleet.
 //!
-//! A node has one request or none at most groups, so what it sent itself says
-//! little about how busy they are. Nodes of a hall therefore tell one of them, the
-//! hall's collector, what they have in flight, several times a second; collectors
-//! tell each other the sums of their halls; and each node gets the sum of all the
-//! others back. A report that is not renewed is dropped: whoever made it is gone
-//! or cut off.
+//! A node has at most one request in flight at most groups, so its own requests say little about
+//! how busy they are. Nodes of a hall therefore send in-flight reports to the hall's collector
+//! several times a second, collectors send each other the sums of their halls, and each node
+//! receives the sum of all other nodes as the reply. A report that is not renewed expires, because
+//! its sender is gone or cut off.
 
 use std::collections::{BTreeMap, HashMap};
 
 use cottoncrank::{Millis, id};
 use serde::{Deserialize, Serialize};
 
-use crate::apportion::Want;
+use crate::allocation::Demand;
+use crate::feedback::Digest;
 use crate::runner::Epoch;
-use crate::said::News;
 
-/// A report counts for this long: three of the longest periods between two.
-pub const KEPT: Millis = Millis(1500);
+/// How long a report counts: three times the longest interval between two reports.
+pub const REPORT_TTL: Millis = Millis(1500);
 
-/// A view that covers less than this part of the nodes says too little: a hall that
-/// is cut off, or a node on its own, would take busy groups for idle ones.
-pub const COVERED: f64 = 0.5;
+/// The fraction of the known nodes that the fleet load has to cover to be usable. With less, a hall
+/// that is cut off or an isolated node would mistake busy groups for idle ones.
+pub const MIN_COVERAGE: f64 = 0.5;
 
-/// Requests in flight by group. Epochs name groups: each is given out once.
+/// Requests in flight by group. An epoch identifies a group, because each is used only once.
 pub type Counts = BTreeMap<Epoch, u32>;
 
-/// What is in flight at a group, and how many nodes doubt it.
+/// The load of a group.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Load {
     /// Requests in flight, over all nodes.
     pub running: u32,
-    /// Nodes that doubt it.
+    /// The number of nodes that doubt the group.
     pub doubts: u32,
 }
 
-/// What some nodes have in flight.
+/// The requests in flight of some nodes.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Sum {
-    /// How many nodes it covers.
+pub struct InFlight {
+    /// The number of nodes covered.
     pub nodes: usize,
-    /// Their requests.
+    /// Their requests by group.
     pub counts: Counts,
 }
 
-impl Sum {
-    /// What one node has.
-    pub fn of_node(counts: Counts) -> Sum {
-        Sum { nodes: 1, counts }
+impl InFlight {
+    /// Returns the requests in flight of a single node.
+    pub fn for_node(counts: Counts) -> InFlight {
+        InFlight { nodes: 1, counts }
     }
 
-    /// Adds what other nodes have.
-    pub fn add(&mut self, more: &Sum) {
+    /// Adds the requests of other nodes.
+    pub fn add(&mut self, more: &InFlight) {
         self.nodes += more.nodes;
         for (epoch, count) in &more.counts {
             *self.counts.entry(*epoch).or_default() += count;
         }
     }
 
-    /// Takes off what some of these nodes have.
-    pub fn subtract(&mut self, part: &Sum) {
+    /// Subtracts the requests of some of these nodes.
+    pub fn subtract(&mut self, part: &InFlight) {
         self.nodes = self.nodes.saturating_sub(part.nodes);
         for (epoch, count) in &part.counts {
-            if let Some(left) = self.counts.get_mut(epoch) {
-                *left = left.saturating_sub(*count);
+            if let Some(remaining) = self.counts.get_mut(epoch) {
+                *remaining = remaining.saturating_sub(*count);
             }
         }
     }
@@ -78,42 +77,44 @@
     Hall,
 }
 
-/// What one node tells another.
+/// An in-flight report, sent from one node to another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
-    /// The node that sends it.
+    /// The sender.
     pub node: id::Node,
-    /// The data hall it stands in.
+    /// The sender's data hall.
     pub hall: id::Hall,
     /// What it covers.
     pub scope: Scope,
-    /// What is in flight.
-    pub sum: Sum,
-    /// Groups that failed a request of the node, or at which its streams do not get on.
+    /// The requests in flight.
+    pub sum: InFlight,
+    /// Groups that failed a request of the node, or that make no progress on its streams.
     pub doubted: Vec<Epoch>,
-    /// What runners have said of themselves: to the node, or to any of the hall.
-    pub news: News,
-    /// What the hall wants of them; a node wants through its hall.
-    pub wants: Vec<Want>,
+    /// Feedback of runners: to the node, or to any node of the hall.
+    #[serde(rename = "news")]
+    pub feedback: Digest,
+    /// The demand of the hall for rate-limited runners; empty in the report of a single node.
+    pub wants: Vec<Demand>,
 }
 
-/// The answer to a report.
+/// The reply to a report.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Reply {
-    /// What is in flight that the report does not cover.
-    pub sum: Sum,
-    /// What runners have said of themselves, as far as the node has to know it.
-    pub news: News,
+pub struct ReportReply {
+    /// The requests in flight that the report does not cover.
+    pub sum: InFlight,
+    /// Feedback of runners, as far as the sender of the report needs it.
+    #[serde(rename = "news")]
+    pub feedback: Digest,
 }
 
 #[derive(Clone, Debug)]
 struct Row {
-    sum: Sum,
+    in_flight: InFlight,
     doubted: Vec<Epoch>,
-    told: Millis,
+    received: Millis,
 }
 
-/// The reports a node holds. Only collectors get any.
+/// The latest reports received. Only collectors receive any.
 #[derive(Clone, Debug, Default)]
 pub struct Table {
     nodes: HashMap<id::Node, Row>,
@@ -121,42 +122,42 @@
 }
 
 impl Table {
-    /// Takes a report in.
-    pub fn put(&mut self, report: Report, now: Millis) {
-        self.nodes.retain(|_, row| now < row.told + KEPT);
-        self.halls.retain(|_, row| now < row.told + KEPT);
-        let row = Row { sum: report.sum, doubted: report.doubted, told: now };
+    /// Inserts a report and removes expired ones.
+    pub fn insert(&mut self, report: Report, now: Millis) {
+        self.nodes.retain(|_, row| now < row.received + REPORT_TTL);
+        self.halls.retain(|_, row| now < row.received + REPORT_TTL);
+        let row = Row { in_flight: report.sum, doubted: report.doubted, received: now };
         match report.scope {
             Scope::Node => self.nodes.insert(report.node, row),
             Scope::Hall => self.halls.insert(report.hall, row),
         };
     }
 
-    /// How many nodes of this hall tell this one what they have in flight.
+    /// Returns how many nodes of this hall have sent a recent report.
     pub fn count_nodes(&self, now: Millis) -> usize {
-        self.nodes.values().filter(|row| now < row.told + KEPT).count()
+        self.nodes.values().filter(|row| now < row.received + REPORT_TTL).count()
     }
 
-    /// Whether another hall's collector tells this one.
-    pub fn hears(&self, hall: &id::Hall, now: Millis) -> bool {
-        self.halls.get(hall).is_some_and(|row| now < row.told + KEPT)
+    /// Whether another hall's collector has sent a recent report.
+    pub fn has_report_from(&self, hall: &id::Hall, now: Millis) -> bool {
+        self.halls.get(hall).is_some_and(|row| now < row.received + REPORT_TTL)
     }
 
-    /// A node of this hall begins a request that its last report does not have yet.
-    pub fn begin(&mut self, node: &id::Node, epoch: Epoch) {
+    /// Counts a request of a node of this hall that its last report does not include yet.
+    pub fn begin_request(&mut self, node: &id::Node, epoch: Epoch) {
         if let Some(row) = self.nodes.get_mut(node) {
-            *row.sum.counts.entry(epoch).or_default() += 1;
+            *row.in_flight.counts.entry(epoch).or_default() += 1;
         }
     }
 
-    /// What is in flight at each group over all nodes, with `own` as what this one has,
-    /// and how many nodes of this hall doubt it.
-    pub fn sum_loads(&self, own: &Sum, now: Millis) -> HashMap<Epoch, Load> {
+    /// Returns the load of each group over all nodes, with `own` as the requests of this node. Only
+    /// doubts of nodes of this hall are counted.
+    pub fn sum_loads(&self, own: &InFlight, now: Millis) -> HashMap<Epoch, Load> {
         let mut loads: HashMap<Epoch, Load> = HashMap::new();
-        let fresh = |row: &&Row| now < row.told + KEPT;
+        let fresh = |row: &&Row| now < row.received + REPORT_TTL;
         let nodes = self.nodes.values().filter(fresh);
         let halls = self.halls.values().filter(fresh);
-        let sums = nodes.clone().chain(halls).map(|row| &row.sum).chain(std::iter::once(own));
+        let sums = nodes.clone().chain(halls).map(|row| &row.in_flight).chain(std::iter::once(own));
         for (epoch, count) in sums.flat_map(|sum| &sum.counts) {
             loads.entry(*epoch).or_default().running += count;
         }
@@ -166,54 +167,54 @@
         loads
     }
 
-    /// The sum over the nodes of this hall, `own` included.
-    pub fn sum_hall(&self, own: &Sum, now: Millis) -> Sum {
+    /// Returns the sum over the nodes of this hall, `own` included.
+    pub fn sum_hall(&self, own: &InFlight, now: Millis) -> InFlight {
         let mut sum = own.clone();
-        for row in self.nodes.values().filter(|row| now < row.told + KEPT) {
-            sum.add(&row.sum);
+        for row in self.nodes.values().filter(|row| now < row.received + REPORT_TTL) {
+            sum.add(&row.in_flight);
         }
         sum
     }
 
-    /// The sum over the other halls.
-    pub fn sum_others(&self, now: Millis) -> Sum {
-        let mut sum = Sum::default();
-        for row in self.halls.values().filter(|row| now < row.told + KEPT) {
-            sum.add(&row.sum);
+    /// Returns the sum over the other halls.
+    pub fn sum_others(&self, now: Millis) -> InFlight {
+        let mut sum = InFlight::default();
+        for row in self.halls.values().filter(|row| now < row.received + REPORT_TTL) {
+            sum.add(&row.in_flight);
         }
         sum
     }
 }
 
-/// What a node was last told of all the others.
+/// The other nodes' in-flight requests as last received.
 #[derive(Clone, Debug, Default)]
-pub struct View {
+pub struct FleetLoad {
     others: Counts,
-    /// Whether it covers enough of the nodes to be used.
-    enough: bool,
-    asked: Option<Millis>,
+    /// Whether enough nodes are covered.
+    covers_enough: bool,
+    sent: Option<Millis>,
 }
 
-impl View {
-    /// Takes what the others have in flight, as asked for at `asked`, where `known`
-    /// nodes are known of, this one included.
-    pub fn put(&mut self, others: Sum, known: usize, asked: Millis) {
-        self.enough = (others.nodes + 1) as f64 >= COVERED * known as f64;
+impl FleetLoad {
+    /// Replaces the counts with those received for a report sent at `sent`. `known` is the number
+    /// of known nodes, this one included.
+    pub fn update(&mut self, others: InFlight, known: usize, sent: Millis) {
+        self.covers_enough = (others.nodes + 1) as f64 >= MIN_COVERAGE * known as f64;
         self.others = others.counts;
-        self.asked = Some(asked);
+        self.sent = Some(sent);
     }
 
-    /// Whether the view can be used.
+    /// Whether the counts are recent and cover enough nodes.
     pub fn is_usable(&self, now: Millis) -> bool {
-        self.enough && self.asked.is_some_and(|asked| now < asked + KEPT)
+        self.covers_enough && self.sent.is_some_and(|sent| now < sent + REPORT_TTL)
     }
 
-    /// What the other nodes have in flight at each group.
-    pub fn list(&self) -> &Counts {
+    /// Returns the other nodes' in-flight requests by group.
+    pub fn counts(&self) -> &Counts {
         &self.others
     }
 
-    /// What the other nodes have in flight at a group.
+    /// Returns the other nodes' in-flight requests at a group.
     pub fn count(&self, epoch: Epoch) -> u32 {
         self.others.get(&epoch).copied().unwrap_or(0)
     }
--- a/crates/fleet/src/roster.rs
+++ b/crates/fleet/src/roster.rs
@@ -4,9 +4,9 @@
 
 use cottoncrank::{Millis, id};
 
+use crate::feedback::LeavingRunner;
 use crate::plan::{Group, Plans};
 use crate::runner::{Incarnation, Phase, Release, Runner, is_later};
-use crate::said::Leaving;
 
 /// The time given to runners whose entry lapsed while the store was away to write it again after the
 /// store recovered. The platform specifies about two seconds.
@@ -104,9 +104,9 @@
     }
 
     /// Returns the runners that announced in an answer that they are about to leave.
-    pub fn list_leaving(&self) -> Vec<Leaving> {
+    pub fn list_leaving(&self) -> Vec<LeavingRunner> {
         let leaving = self.leaving.iter();
-        leaving.map(|(id, incarnation)| Leaving { runner: id.clone(), life: *incarnation }).collect()
+        leaving.map(|(id, incarnation)| LeavingRunner { runner: id.clone(), life: *incarnation }).collect()
     }
 
     /// Whether a runner announced in this incarnation that it is about to leave.
--- a/crates/fleet/src/throttle.rs
+++ b/crates/fleet/src/throttle.rs
@@ -1,8 +1,8 @@
-//! How many requests a second runners take from all nodes together, as they say themselves.
+//! The rate limits that runners announce for all nodes together.
 //!
-//! The load this answers: a runner in need names a rate in its answers. It is a number for all
-//! nodes, so what one of them was told concerns the others; and answers overtake each other, on
-//! one node and between nodes, so that the last one read is not always the last one said.
+//! An overloaded runner announces a rate in its answers. The rate applies to all nodes, so what one
+//! node receives concerns the others. Answers overtake each other on one node and between nodes, so
+//! the last one received is not always the last one sent.
 
 use std::collections::HashMap;
 
@@ -12,121 +12,123 @@
 use crate::rate::Rate;
 use crate::runner::{Incarnation, is_later};
 
-/// What a runner said of its rate in one answer.
+/// A rate limit as announced in one answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Claim {
+pub struct RateLimit {
     /// The runner.
     pub runner: id::Runner,
-    /// In which life, where that is told.
-    pub life: Option<Incarnation>,
-    /// The rate it takes; none if it named none.
+    /// The incarnation that announced it, if known.
+    pub incarnation: Option<Incarnation>,
+    /// The accepted rate; `None` if the answer announced none.
     pub rate: Option<Rate>,
-    /// When the request was sent that it answered. It said so no sooner.
-    pub asked: Millis,
-    /// When the answer came. It said so no later.
-    pub heard: Millis,
+    /// When the answered request was sent: the earliest time of the announcement.
+    pub sent: Millis,
+    /// When the answer was received: the latest time of the announcement.
+    pub received: Millis,
 }
 
-/// A claim as nodes tell it each other, with ages in place of times.
+/// A rate limit as nodes exchange it, with ages in place of times.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Told {
+pub struct Message {
     /// The runner.
     pub runner: id::Runner,
-    /// In which life, where that is told.
+    /// The incarnation that announced it, if known.
     pub life: Option<Incarnation>,
-    /// The rate it takes; none if it named none.
+    /// The accepted rate; `None` if the answer announced none.
     pub rate: Option<Rate>,
-    /// How long ago the request was sent.
+    /// The time since the answered request was sent.
     pub asked: Millis,
-    /// How long ago the answer came.
+    /// The time since the answer was received.
     pub heard: Millis,
 }
 
-impl Claim {
-    /// The claim as it is told at `now`.
-    pub fn tell(&self, now: Millis) -> Told {
-        let Claim { runner, life, rate, asked, heard } = self.clone();
-        Told { runner, life, rate, asked: now.since(asked), heard: now.since(heard) }
+impl RateLimit {
+    /// Converts the times to ages at `now`.
+    pub fn to_message(&self, now: Millis) -> Message {
+        let RateLimit { runner, incarnation, rate, sent, received } = self.clone();
+        Message { runner, life: incarnation, rate, asked: now.since(sent), heard: now.since(received) }
     }
 
-    /// Whether it surely was said after `other`, of the same runner.
-    fn is_after(&self, other: &Claim) -> bool {
-        is_later(self.life, other.life) || self.asked >= other.heard
+    /// Whether it was certainly announced after `other`, by the same runner.
+    fn is_after(&self, other: &RateLimit) -> bool {
+        is_later(self.incarnation, other.incarnation) || self.sent >= other.received
     }
 }
 
-impl Told {
-    /// The claim, told at `now`.
-    pub fn read(&self, now: Millis) -> Claim {
-        let Told { runner, life, rate, asked, heard } = self.clone();
-        Claim { runner, life, rate, asked: now.since(asked), heard: now.since(heard) }
+impl Message {
+    /// Converts the ages at `now` to times.
+    pub fn to_rate_limit(&self, now: Millis) -> RateLimit {
+        let Message { runner, life: incarnation, rate, asked: sent, heard: received } = self.clone();
+        RateLimit { runner, incarnation, rate, sent: now.since(sent), received: now.since(received) }
     }
 }
 
-/// What a claim changed.
+/// The effect of an announcement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// Nothing that matters.
+    /// The rate is unchanged.
     None,
-    /// The runner takes so many now.
-    Named(Rate),
-    /// The runner names no rate any more.
+    /// The runner has this rate limit now.
+    Set(Rate),
+    /// The runner has no rate limit any more.
     Withdrawn,
 }
 
-/// The rate for a comparison: without one, all are taken.
-fn order(rate: Option<Rate>) -> Rate {
+/// Returns the rate for comparisons: no limit is higher than every limit.
+fn comparable_rate(rate: Option<Rate>) -> Rate {
     rate.unwrap_or(Rate(u64::MAX))
 }
 
-/// The newest claims of runners that name a rate, or did a while ago.
+/// The latest announcements of runners that have a rate limit, or had one a while ago.
 #[derive(Clone, Debug, Default)]
-pub struct Table(HashMap<id::Runner, Claim>);
+pub struct Table(HashMap<id::Runner, RateLimit>);
 
-/// A runner that has withdrawn its rate is remembered for this long: so much older may be what
-/// another node tells of it.
-const WITHDRAWN: Millis = Millis(10_000);
+/// How long a withdrawn limit is remembered, because messages of other nodes may be older than the
+/// withdrawal by this much.
+const WITHDRAWN_TTL: Millis = Millis(10_000);
 
 impl Table {
-    /// Takes a claim in.
+    /// Applies an announcement and returns its effect.
     ///
-    /// One that surely was said later holds. Where the order of two is not known the lower rate
-    /// does, until a request sent after that has been answered: too few for a moment harms less
-    /// than too many.
-    pub fn put(&mut self, claim: Claim) -> Change {
-        let now = claim.heard;
-        self.0.retain(|_, known| known.rate.is_some() || now < known.heard + WITHDRAWN);
-        let before = self.0.get(&claim.runner);
-        let kept = before.is_some_and(|known| {
-            known.is_after(&claim) || (!claim.is_after(known) && order(claim.rate) >= order(known.rate))
+    /// The one that was certainly made later wins. If the order of two is unknown, the lower rate
+    /// applies until a request sent after that has been answered, because too few requests for a
+    /// moment do less harm than too many.
+    pub fn apply(&mut self, limit: RateLimit) -> Change {
+        let now = limit.received;
+        self.0.retain(|_, known| known.rate.is_some() || now < known.received + WITHDRAWN_TTL);
+        let previous = self.0.get(&limit.runner);
+        let is_outdated = previous.is_some_and(|known| {
+            known.is_after(&limit)
+                || (!limit.is_after(known) && comparable_rate(limit.rate) >= comparable_rate(known.rate))
         });
-        // A runner that never named a rate has none to withdraw.
-        if kept || (before.is_none() && claim.rate.is_none()) {
+        // A runner that never announced a limit has none to withdraw.
+        if is_outdated || (previous.is_none() && limit.rate.is_none()) {
             return Change::None;
         }
-        let named = before.and_then(|known| known.rate);
-        let rate = claim.rate;
-        self.0.insert(claim.runner.clone(), claim);
+        let previous_rate = previous.and_then(|known| known.rate);
+        let rate = limit.rate;
+        self.0.insert(limit.runner.clone(), limit);
         match rate {
-            _ if rate == named => Change::None,
-            Some(rate) => Change::Named(rate),
+            _ if rate == previous_rate => Change::None,
+            Some(rate) => Change::Set(rate),
             None => Change::Withdrawn,
         }
     }
 
-    /// The rate that a runner takes, if it has named one; `life` is the one it is known to be in.
-    pub fn find(&self, id: &id::Runner, life: Option<Incarnation>) -> Option<Rate> {
-        let claim = self.0.get(id).filter(|claim| !is_later(life, claim.life))?;
-        claim.rate
+    /// Returns the rate limit of a runner, if it has one. `incarnation` is the latest known one; a
+    /// limit of an earlier incarnation does not apply to it.
+    pub fn find(&self, id: &id::Runner, incarnation: Option<Incarnation>) -> Option<Rate> {
+        let limit = self.0.get(id).filter(|limit| !is_later(incarnation, limit.incarnation))?;
+        limit.rate
     }
 
-    /// All that is known.
-    pub fn iter(&self) -> impl Iterator<Item = &Claim> {
+    /// Lists all announcements.
+    pub fn iter(&self) -> impl Iterator<Item = &RateLimit> {
         self.0.values()
     }
 
-    /// Forgets runners that are gone.
-    pub fn retain(&mut self, is_there: impl Fn(&id::Runner) -> bool) {
-        self.0.retain(|id, _| is_there(id));
+    /// Removes runners that are gone.
+    pub fn retain(&mut self, exists: impl Fn(&id::Runner) -> bool) {
+        self.0.retain(|id, _| exists(id));
     }
 }
--- a/crates/node/src/tries.rs
+++ b/crates/node/src/tries.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use cottoncrank::{Millis, id};
-use cottoncrank_fleet::dispatch::{Promise, Reply, Urgency};
+use cottoncrank_fleet::dispatch::{Assignment, Reply, Urgency};
 use cottoncrank_fleet::trials::Ruling;
 
 use crate::answer::Refusal;
@@ -35,9 +35,9 @@
     /// Whether it has reached a runner: from then on sending it costs a retry.
     arrived: bool,
     /// The group that was chosen for the next try.
-    chosen: Option<Promise>,
+    chosen: Option<Assignment>,
     /// What the group was expected to do that has the present try, if it was chosen.
-    pub promise: Option<Promise>,
+    pub promise: Option<Assignment>,
 }
 
 impl Tries {
@@ -89,7 +89,7 @@
     }
 }
 
-fn read_choice(reply: Option<Reply>) -> Option<Promise> {
+fn read_choice(reply: Option<Reply>) -> Option<Assignment> {
     match reply? {
         Reply::Take(promise) => Some(promise),
         Reply::Full(_) | Reply::Throttled(_) | Reply::Unknown | Reply::Held | Reply::Deadly => None,
