--- a/crates/node/src/decider.rs
+++ b/crates/node/src/decider.rs
@@ -157,7 +157,7 @@
                 term.node.set_deciding(false);
                 prober.abort();
                 log::warn!("decider: this node decides no more: {end}");
-                if let Err(error) = term.node.store.end_lease(term.lease).await {
+                if let Err(error) = term.node.store.revoke_lease(term.lease).await {
                     log::info!("decider: the lease runs out by itself: {error}");
                 }
             }
@@ -315,12 +315,12 @@
             return Ok(());
         }
         self.renewed = asked;
-        match self.node.store.keep_lease(self.lease).await {
+        match self.node.store.renew_lease(self.lease).await {
             Ok(()) => {
                 self.until = asked + LEASE.max(self.node.settings().lease_min);
                 Ok(())
             }
-            Err(error @ StoreError::LeaseOver) => Err(error.into()),
+            Err(error @ StoreError::LeaseExpired) => Err(error.into()),
             Err(error) => {
                 log::info!("decider: the lease was not renewed, {} left: {error}", self.until.since(asked));
                 Ok(())
@@ -448,8 +448,8 @@
                     false => Ok(false),
                 }
             }
-            Err(StoreError::LeaseOver) => Err(StoreError::LeaseOver.into()),
-            Err(StoreError::CameBack(_)) => Err(EndError::CameBack),
+            Err(StoreError::LeaseExpired) => Err(StoreError::LeaseExpired.into()),
+            Err(StoreError::Restored(_)) => Err(EndError::CameBack),
             Err(error) => {
                 log::warn!("decider: plans were perhaps not written: {error}");
                 self.plans = read_plans(&self.node).await?;
--- a/crates/node/src/era.rs
+++ b/crates/node/src/era.rs
@@ -9,7 +9,7 @@
 use cottoncrank::id;
 use cottoncrank_fleet::plan::Document;
 use cottoncrank_fleet::position::{Era, Position};
-use cottoncrank_platform::item::{Change, Raw, decode, is_catalog};
+use cottoncrank_platform::item::{Change, RawItem, decode, is_catalog};
 use cottoncrank_platform::store::Batch;
 
 use crate::figures;
@@ -18,7 +18,7 @@
 
 /// What a value that nodes or operators keep in force says of its age: the greater, the later.
 /// None for all other items, which their writers write again.
-fn read_version(raw: &Raw) -> Option<u64> {
+fn read_version(raw: &RawItem) -> Option<u64> {
     match decode(raw.clone()) {
         Ok(Change::Catalog(catalog)) => Some(catalog.version),
         Ok(Change::Own(item)) => Some(read_plan(&item).ok()??.1.version),
@@ -42,7 +42,7 @@
 }
 
 /// Puts an item that is held here into a batch that has an earlier one, or none.
-fn carry(batch: &mut Batch, held: Raw) {
+fn carry(batch: &mut Batch, held: RawItem) {
     let place = batch.items.iter().position(|raw| raw.key == held.key);
     let there = place.and_then(|place| read_version(&batch.items[place]));
     if there >= read_version(&held) {
--- a/crates/node/src/feed.rs
+++ b/crates/node/src/feed.rs
@@ -9,7 +9,7 @@
 
 use bytes::Bytes;
 use cottoncrank_fleet::position::Position;
-use cottoncrank_platform::item::Raw;
+use cottoncrank_platform::item::RawItem;
 use cottoncrank_platform::store::Batch;
 use parking_lot::Mutex;
 use tokio::sync::watch;
@@ -27,7 +27,7 @@
 #[derive(Default)]
 struct Held {
     /// The last change of each key. One without a value is gone.
-    items: HashMap<Arc<str>, Raw>,
+    items: HashMap<Arc<str>, RawItem>,
     /// All keys, by their last change.
     changes: BTreeSet<Place>,
     /// The keys that are gone.
@@ -40,7 +40,7 @@
 }
 
 impl Held {
-    fn put(&mut self, raw: Raw) {
+    fn put(&mut self, raw: RawItem) {
         let key: Arc<str> = raw.key.as_str().into();
         if let Some(before) = self.items.get(&key) {
             let place = (before.position, key.clone());
@@ -56,11 +56,11 @@
     }
 
     /// Takes in all that there is at `position`. What is held here and not there is gone.
-    fn replace(&mut self, items: &[Raw], known: Position, position: Position) {
+    fn replace(&mut self, items: &[RawItem], known: Position, position: Position) {
         self.gaps.push_back((known, position));
         let there: BTreeSet<&str> = items.iter().map(|raw| raw.key.as_str()).collect();
         let gone = self.list_living().filter(|raw| !there.contains(raw.key.as_str()));
-        let gone: Vec<Raw> = gone.map(|raw| Raw { value: None, position, ..raw.clone() }).collect();
+        let gone: Vec<RawItem> = gone.map(|raw| RawItem { value: None, position, ..raw.clone() }).collect();
         for raw in items.iter().cloned().chain(gone) {
             self.put(raw);
         }
@@ -89,12 +89,12 @@
 
     /// What has changed after a position, in order. The range begins with the changes at that
     /// position itself, for no key comes before the empty one.
-    fn list_after(&self, after: Position) -> Vec<Raw> {
+    fn list_after(&self, after: Position) -> Vec<RawItem> {
         let changed = self.changes.range((after, Arc::from(""))..).filter(|(position, _)| *position > after);
         changed.filter_map(|(_, key)| self.items.get(key).cloned()).collect()
     }
 
-    fn list_living(&self) -> impl Iterator<Item = &Raw> {
+    fn list_living(&self) -> impl Iterator<Item = &RawItem> {
         self.items.values().filter(|raw| raw.value.is_some())
     }
 }
@@ -120,7 +120,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct News {
     /// The items; all there are if `whole`.
-    pub items: Vec<Raw>,
+    pub items: Vec<RawItem>,
     /// Up to here.
     pub position: Position,
     /// Whether items that are not among these are gone.
@@ -190,7 +190,7 @@
     }
 
     /// The items that `wanted` picks.
-    pub fn list(&self, wanted: impl Fn(&Raw) -> bool) -> Vec<Raw> {
+    pub fn list(&self, wanted: impl Fn(&RawItem) -> bool) -> Vec<RawItem> {
         self.held.lock().list_living().filter(|raw| wanted(raw)).cloned().collect()
     }
 
@@ -225,12 +225,12 @@
 pub type PackError = rmp_serde::encode::Error;
 
 /// Packs items for the way between nodes.
-pub fn pack(items: &[Raw]) -> Result<Bytes, PackError> {
+pub fn pack(items: &[RawItem]) -> Result<Bytes, PackError> {
     Ok(lz4_flex::compress_prepend_size(&rmp_serde::to_vec(items)?).into())
 }
 
 /// Unpacks items.
-pub fn unpack(packed: &[u8]) -> Result<Vec<Raw>, UnpackError> {
+pub fn unpack(packed: &[u8]) -> Result<Vec<RawItem>, UnpackError> {
     Ok(rmp_serde::from_slice(&lz4_flex::decompress_size_prepended(packed)?)?)
 }
 
--- a/crates/node/src/intake.rs
+++ b/crates/node/src/intake.rs
@@ -122,7 +122,7 @@
             log::debug!("roster: {} is {:?} draining {}", runner.id, runner.membership, runner.draining);
             node.put_runner(runner);
         }
-        Ok(Change::RunnerGone(id)) => {
+        Ok(Change::RunnerRemoved(id)) => {
             log::info!("roster: the entry of {id} is gone");
             node.roster.lock().remove(&id, node.now());
             if node.roster.lock().get(&id).is_none() {
@@ -130,7 +130,7 @@
             }
         }
         Ok(Change::Own(item)) => take_own(node, &item),
-        Ok(Change::OwnGone(key)) => take_own_gone(node, &key),
+        Ok(Change::OwnRemoved(key)) => take_own_gone(node, &key),
         Ok(Change::Foreign(key)) => node.note_unreadable(&key, Part::Foreign, "key", "nothing of ours"),
         Err(error @ ItemError::Catalog(_)) => {
             node.note_unreadable("catalog", Part::Catalog, "form", error);
--- a/crates/node/src/member.rs
+++ b/crates/node/src/member.rs
@@ -67,12 +67,12 @@
 }
 
 async fn enter(node: &Node, own: &Peer) -> Result<(), StoreError> {
-    let value = rmp_serde::to_vec(own).map_err(|error| StoreError::Unreadable(error.to_string()))?;
+    let value = rmp_serde::to_vec(own).map_err(|error| StoreError::Invalid(error.to_string()))?;
     let key = format!("{}{}", write_prefix(&own.hall), own.node);
     let commit = Commit { puts: vec![(key, value, None)], ..Commit::default() };
     match node.store.commit(&commit).await? {
         Outcome::Done(_) => Ok(()),
-        Outcome::Conflict => Err(StoreError::Unreadable("a write without a condition met one".to_owned())),
+        Outcome::Conflict => Err(StoreError::Invalid("a write without a condition met one".to_owned())),
     }
 }
 
--- a/crates/node/src/plans.rs
+++ b/crates/node/src/plans.rs
@@ -52,7 +52,7 @@
 /// known; all others are decided.
 pub(crate) async fn read_plans(node: &Node) -> Result<Plans, StoreError> {
     let mut plans = Plans { read: node.now(), ..Plans::default() };
-    for item in node.store.read_own().await? {
+    for item in node.store.read_own_items().await? {
         match read_plan(&item) {
             Ok(Some((domain, document))) => {
                 plans.kept.insert(domain, Kept { position: Some(item.position), document });
--- a/crates/node/src/sync.rs
+++ b/crates/node/src/sync.rs
@@ -167,7 +167,7 @@
 
     /// Reads which nodes there are in this hall. Returns whether that succeeded.
     async fn read_entries(&self, settings: &Settings) -> bool {
-        match self.node.store.read_own_stale(&member::write_prefix(&settings.hall)).await {
+        match self.node.store.read_stale_own_items(&member::write_prefix(&settings.hall)).await {
             Ok(items) => member::take_entries(&self.node, &items),
             Err(error) => {
                 log::info!("sync: other nodes are not known: {error}");
@@ -231,8 +231,8 @@
                 let serving = !matches!(source, Source::Reader(_));
                 self.take(learned, serving).await;
             }
-            (Err(SyncError::Store(StoreError::Forgotten)), _) => self.note_forgotten(now),
-            (Err(SyncError::Store(error @ StoreError::CameBack(_))), _) => {
+            (Err(SyncError::Store(StoreError::Compacted)), _) => self.note_forgotten(now),
+            (Err(SyncError::Store(error @ StoreError::Restored(_))), _) => {
                 log::warn!("sync: {error}; reading all anew, at {} now", self.show_position());
                 self.position = None;
             }
--- a/crates/node/tests/eras.rs
+++ b/crates/node/tests/eras.rs
@@ -238,20 +238,20 @@
     let store = store::Store::start().unwrap();
     let client = Store::new(store.address());
     let lease = client.open_lease(Millis(5000)).await.unwrap();
-    client.keep_lease(lease).await.unwrap();
+    client.renew_lease(lease).await.unwrap();
     let read = client.read_all().await.unwrap();
     store.go_back(&store.copy());
     // Its number is there in the copy too, and may be given to somebody else.
     let watched = client.watch(read.position, Millis(0)).await;
-    assert!(matches!(watched, Err(StoreError::CameBack(era)) if era > read.position.era()), "{watched:?}");
-    assert!(matches!(client.keep_lease(lease).await, Err(StoreError::LeaseOver)));
+    assert!(matches!(watched, Err(StoreError::Restored(era)) if era > read.position.era()), "{watched:?}");
+    assert!(matches!(client.renew_lease(lease).await, Err(StoreError::LeaseExpired)));
     let expect = vec![("a".to_owned(), Some(read.position))];
     let commit = client.commit(&Commit { expect, ..Commit::default() }).await;
-    assert!(matches!(commit, Err(StoreError::CameBack(_))), "{commit:?}");
+    assert!(matches!(commit, Err(StoreError::Restored(_))), "{commit:?}");
     // Others have seen a later era: this answer was under way for long.
     client.raise_era(Era(9));
     let former = client.read_all().await;
-    assert!(matches!(former, Err(StoreError::Era(EraError::Former { .. }))), "{former:?}");
+    assert!(matches!(former, Err(StoreError::Era(EraError::Outdated { .. }))), "{former:?}");
 }
 
 #[tokio::test]
--- a/crates/node/tests/feed.rs
+++ b/crates/node/tests/feed.rs
@@ -16,7 +16,7 @@
 use bytes::Bytes;
 use cottoncrank_fleet::position::{Era, Position};
 use cottoncrank_node::feed::{Feed, News};
-use cottoncrank_platform::item::Raw;
+use cottoncrank_platform::item::RawItem;
 use cottoncrank_platform::store::Batch;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -28,16 +28,16 @@
     Position::new(Era(1), revision as u64)
 }
 
-fn item(number: usize, revision: usize) -> Raw {
+fn item(number: usize, revision: usize) -> RawItem {
     let value = Some(Bytes::from(format!("{number} at {revision}")));
-    Raw { key: format!("servers/i-{number}"), value, position: at(revision), leased: false }
+    RawItem { key: format!("servers/i-{number}"), value, position: at(revision), leased: false }
 }
 
-fn gone(number: usize, revision: usize) -> Raw {
-    Raw { value: None, ..item(number, revision) }
+fn gone(number: usize, revision: usize) -> RawItem {
+    RawItem { value: None, ..item(number, revision) }
 }
 
-fn batch(items: Vec<Raw>, revision: usize) -> Batch {
+fn batch(items: Vec<RawItem>, revision: usize) -> Batch {
     Batch { items, position: at(revision) }
 }
 
@@ -56,7 +56,7 @@
     let feed = Feed::default();
     read_whole(&feed, ITEMS);
     // While the history was forgotten one item changed, two went and one came.
-    let mut items: Vec<Raw> = (0..ITEMS - 2).map(|number| item(number, number + 1)).collect();
+    let mut items: Vec<RawItem> = (0..ITEMS - 2).map(|number| item(number, number + 1)).collect();
     items[7] = item(7, ITEMS + 1);
     items.push(item(ITEMS, ITEMS + 2));
     feed.replace(&batch(items, ITEMS + 9));
@@ -107,7 +107,7 @@
     let feed = Feed::default();
     read_whole(&feed, ITEMS);
     let position = Position::new(Era(2), 5);
-    feed.replace(&Batch { items: vec![Raw { position, ..item(1, 1) }], position });
+    feed.replace(&Batch { items: vec![RawItem { position, ..item(1, 1) }], position });
     let news = feed.read(Some(at(ITEMS))).unwrap();
     assert!(news.whole && news.items.len() == 1, "{} items", news.items.len());
 }
@@ -153,8 +153,8 @@
 fn whoever_asks_holds_what_the_store_holds_whichever_way_the_others_learned_it() {
     for seed in 0..200 {
         let mut rng = SmallRng::seed_from_u64(seed);
-        let mut history: Vec<Raw> = Vec::new();
-        let mut store: BTreeMap<String, Raw> = BTreeMap::new();
+        let mut history: Vec<RawItem> = Vec::new();
+        let mut store: BTreeMap<String, RawItem> = BTreeMap::new();
         let (feeds, mut seen) = ([Feed::default(), Feed::default()], [0, 0]);
         let mut follower = Follower::default();
         for _ in 0..300 {
