--- a/crates/node/src/answer.rs
+++ b/crates/node/src/answer.rs
@@ -210,9 +210,9 @@
         *answer.status_mut() = self.status();
         let headers = answer.headers_mut();
         headers.insert(CONTENT_TYPE, HeaderValue::from_static("text/plain"));
-        header::write_request(headers, request);
+        header::write_request_id(headers, request);
         if self.is_passing() {
-            header::write_retry(headers, self.pick_return());
+            header::write_retry_after(headers, self.pick_return());
         }
         answer
     }
--- a/crates/node/src/attempt.rs
+++ b/crates/node/src/attempt.rs
@@ -9,7 +9,7 @@
 use cottoncrank_fleet::fingerprint::Fingerprint;
 use cottoncrank_fleet::plan::{State, find_state};
 use cottoncrank_fleet::runner::{Epoch, Life, Release};
-use cottoncrank_platform::header::{self, Forward, Terms, Verdict};
+use cottoncrank_platform::header::{self, ForwardMetadata, RequestMetadata, Verdict};
 use http_body_util::Full;
 use hyper::body::Incoming;
 use hyper::http::request::Parts;
@@ -29,7 +29,7 @@
     /// Its body.
     pub body: Bytes,
     /// What its headers say.
-    pub terms: Terms,
+    pub terms: RequestMetadata,
     /// Its route.
     pub route: Arc<Route>,
     /// The configuration it was admitted under.
@@ -71,12 +71,12 @@
 
     /// For how long its caller waits from now on; none if that is not said.
     pub fn patience(&self, now: Millis) -> Option<Millis> {
-        self.terms.wait.map(|wait| (self.arrived + wait).since(now))
+        self.terms.timeout.map(|wait| (self.arrived + wait).since(now))
     }
 
     /// The caller's id of the request, for the log.
     pub fn id(&self) -> &str {
-        self.terms.request.as_deref().unwrap_or("-")
+        self.terms.request_id.as_deref().unwrap_or("-")
     }
 }
 
@@ -227,14 +227,14 @@
         node.note_leaving(&pick.id, pick.life);
     }
     let backoff = backoff::note(node, &pick.id, pick.life, status, response.headers());
-    let verdict = header::read_verdict(status, response.headers(), job.terms.request.as_deref());
-    if header::is_from_meant(status) && verdict != Verdict::Foreign {
+    let verdict = header::read_verdict(status, response.headers(), job.terms.request_id.as_deref());
+    if header::is_from_expected(status) && verdict != Verdict::Foreign {
         throttle::note(node, pick, asked, response.headers());
     }
     let attempt = Attempt { pick: pick.clone(), response, channel, counted };
     match verdict {
         Verdict::Ran => Ok(attempt),
-        Verdict::TurnedAway => {
+        Verdict::Rejected => {
             if backoff.is_none() {
                 node.ledger.lock().refuse(&pick.id, node.now());
             }
@@ -245,7 +245,7 @@
             node.ledger.lock().blame(&pick.id, node.now());
             Err(AttemptError::MayHaveRun(format!("it answered {status} to another request")))
         }
-        Verdict::Unclear => {
+        Verdict::Unknown => {
             Err(AttemptError::MayHaveRun(format!("it answered {status} without saying more")))
         }
     }
@@ -255,13 +255,13 @@
     let mut request = Request::new(Full::new(job.body.clone()));
     *request.method_mut() = job.head.method.clone();
     *request.uri_mut() = job.head.uri.clone();
-    let forward = Forward {
+    let forward = ForwardMetadata {
         runner: &pick.id,
         account: job.account.as_ref(),
         priority: job.priority,
-        wait: job.terms.wait.map(|_| job.end.since(node.now())),
-        last_event,
+        timeout: job.terms.timeout.map(|_| job.end.since(node.now())),
+        last_event_id: last_event,
     };
-    *request.headers_mut() = header::write_forward(&job.head.headers, &forward);
+    *request.headers_mut() = header::write_forward_headers(&job.head.headers, &forward);
     request
 }
--- a/crates/node/src/crash.rs
+++ b/crates/node/src/crash.rs
@@ -184,7 +184,7 @@
     let probed = order::probe(&node.client, pick.address, &pick.id, ANSWER).await;
     match probed.reported {
         Observation::Gone => Finding::Ended,
-        Observation::Pace(_) if is_later(probed.life, pick.life) => Finding::Ended,
+        Observation::Pace(_) if is_later(probed.incarnation, pick.life) => Finding::Ended,
         Observation::Pace(_) => Finding::Sound,
         Observation::Silent => Finding::Unknown,
     }
--- a/crates/node/src/decider.rs
+++ b/crates/node/src/decider.rs
@@ -469,7 +469,7 @@
                 log::warn!("decider: {order:?} to {runner} is not given, the lease may be over");
                 return;
             }
-            let reply = order::give(&client, address, &runner, &order, ORDER).await;
+            let reply = order::send(&client, address, &runner, &order, ORDER).await;
             match reply {
                 Ok(Reply::Taken) => memory.lock().record_acknowledged(&runner, life, &order, node.now()),
                 Ok(Reply::Outdated) => memory.lock().record_refused(&runner, &order),
--- a/crates/node/src/dispatch.rs
+++ b/crates/node/src/dispatch.rs
@@ -46,7 +46,7 @@
         report: write_report(node, Scope::Node, node.sum_in_flight()),
         service: job.service.clone(),
         model: model?,
-        prompt: job.terms.prompt.unwrap_or(0),
+        prompt: job.terms.prompt_tokens.unwrap_or(0),
         urgency,
         patience: job.patience(node.now()),
         tried: list_epochs(node, tried),
--- a/crates/node/src/plain.rs
+++ b/crates/node/src/plain.rs
@@ -114,7 +114,7 @@
 fn pass_on(status: hyper::StatusCode, headers: &HeaderMap, bytes: Bytes) -> Answer {
     let mut answer = Response::new(Body::Whole(Some(bytes)));
     *answer.status_mut() = status;
-    *answer.headers_mut() = header::strip(headers);
+    *answer.headers_mut() = header::strip_hop_by_hop(headers);
     answer.headers_mut().remove(CONTENT_LENGTH);
     answer
 }
--- a/crates/node/src/prober.rs
+++ b/crates/node/src/prober.rs
@@ -7,7 +7,7 @@
 use cottoncrank_fleet::probe::{Answer, Observation, Probes};
 use cottoncrank_fleet::runner::Runner;
 use cottoncrank_net::client::Client;
-use cottoncrank_platform::order::{self, Probed};
+use cottoncrank_platform::order::{self, ProbeResult};
 use parking_lot::Mutex;
 use tokio::task::JoinSet;
 
@@ -76,6 +76,6 @@
         asked += 1;
         probed = order::probe(&client, runner.address, &runner.id, PROBE).await;
     }
-    let Probed { reported, life, leaving } = probed;
-    (Answer { runner: runner.id, hall: runner.hall, reported, incarnation: life, asked }, leaving)
+    let ProbeResult { reported, incarnation, leaving } = probed;
+    (Answer { runner: runner.id, hall: runner.hall, reported, incarnation, asked }, leaving)
 }
--- a/crates/node/src/program.rs
+++ b/crates/node/src/program.rs
@@ -80,7 +80,7 @@
 async fn reread_settings(node: Arc<Node>, mut reload: Signal) {
     loop {
         let told = tokio::time::timeout(REREAD.duration(), reload.recv()).await.is_ok();
-        match settings::reread(&node.settings()) {
+        match settings::read_changed(&node.settings()) {
             Ok(Some(settings)) => {
                 ::log::info!("node: the settings have changed and are in force");
                 node.set_settings(settings);
--- a/crates/node/src/request.rs
+++ b/crates/node/src/request.rs
@@ -6,7 +6,7 @@
 use cottoncrank::Millis;
 use cottoncrank_fleet::catalog::{Catalog, Kind, Route};
 use cottoncrank_fleet::fingerprint::{self, Fingerprint};
-use cottoncrank_platform::header::{self, Terms};
+use cottoncrank_platform::header::{self, RequestMetadata};
 use http_body_util::{BodyExt, Limited};
 use hyper::Request;
 use hyper::body::Incoming;
@@ -35,8 +35,8 @@
 /// Answers one request.
 pub async fn answer(node: Arc<Node>, request: Request<Incoming>) -> Answer {
     let (head, body) = request.into_parts();
-    let terms = header::read_terms(&head.headers);
-    let id = terms.request.clone();
+    let terms = header::read_metadata(&head.headers);
+    let id = terms.request_id.clone();
     let running = node.begin_request();
     let arrived = node.now();
     let mut kind = "none";
@@ -89,7 +89,12 @@
     }
 }
 
-async fn admit(node: &Arc<Node>, head: Parts, body: Incoming, terms: Terms) -> Result<Job, Refusal> {
+async fn admit(
+    node: &Arc<Node>,
+    head: Parts,
+    body: Incoming,
+    terms: RequestMetadata,
+) -> Result<Job, Refusal> {
     let arrived = node.now();
     node.wait_synced(START).await;
     let catalog = node.catalog.lock().clone().ok_or(Refusal::Unsure)?;
@@ -101,13 +106,13 @@
             if !node.trusts_keys() {
                 return Err(Refusal::Unsure);
             }
-            let key = terms.key.as_deref().ok_or(Refusal::Key)?;
+            let key = terms.api_key.as_deref().ok_or(Refusal::Key)?;
             Some(catalog.find_account(key).ok_or_else(|| verify(node, Refusal::Key))?)
         }
     };
     let priority = account.and_then(|account| account.priority).unwrap_or(route.priority).min(PRIORITY_MAX);
     let target = route.pick_target(rand::rng().random()).ok_or(Refusal::NoRoute)?;
-    let wait = terms.wait.unwrap_or(WAIT_UNSET).min(route.timeout);
+    let wait = terms.timeout.unwrap_or(WAIT_UNSET).min(route.timeout);
     let fingerprint = Fingerprint::of(&fingerprint::Request {
         account: account.map(|account| &account.id),
         method: head.method.as_str(),
--- a/crates/node/src/stream.rs
+++ b/crates/node/src/stream.rs
@@ -89,7 +89,7 @@
     let (feed, receiver) = mpsc::channel(FEED_DEPTH);
     let mut answer = Response::new(Body::Feed(receiver));
     *answer.status_mut() = begun.head.status;
-    *answer.headers_mut() = header::strip(&begun.head.headers);
+    *answer.headers_mut() = header::strip_hop_by_hop(&begun.head.headers);
     answer.headers_mut().remove(CONTENT_LENGTH);
     if feed.try_send(Ok(begun.first)).is_ok() && !begun.ended {
         let relay = Relay::new(node.clone(), job, tries, feed, begun.source, (running, admitted));
@@ -123,7 +123,7 @@
 /// Tries runners until one sends its first event.
 async fn open(node: &Arc<Node>, job: &Job, tries: &mut Tries) -> Result<Opening, Refusal> {
     loop {
-        let last = job.terms.last_event;
+        let last = job.terms.last_event_id;
         let attempt = next_attempt(node, job, tries, last).await?;
         if !attempt.response.status().is_success() {
             match plain::read_whole(node, attempt).await {
--- a/crates/node/src/throttle.rs
+++ b/crates/node/src/throttle.rs
@@ -60,7 +60,7 @@
 
 /// Reads from an answer to a request sent at `asked` how many requests a second its runner takes.
 pub(crate) fn note(node: &Node, pick: &Pick, asked: Millis, headers: &HeaderMap) {
-    let rate = match header::read_rate(headers) {
+    let rate = match header::read_rate_limit(headers) {
         Ok(rate) => rate,
         Err(error) => {
             log::warn!("throttle: {}: {error}; what it said before holds", pick.id);
--- a/crates/node/tests/fleet.rs
+++ b/crates/node/tests/fleet.rs
@@ -305,7 +305,7 @@
     let address = fleet.engines[0].address();
     assert_eq!(order::probe(&client, address, &meant, wait).await.reported, Observation::Gone);
     let leave = Order::Leave("g1".parse().unwrap(), Epoch(1));
-    assert_eq!(order::give(&client, address, &meant, &leave, wait).await.unwrap(), Reply::Gone);
+    assert_eq!(order::send(&client, address, &meant, &leave, wait).await.unwrap(), Reply::Gone);
     let here = fleet.engines[0].id().parse().unwrap();
     assert!(matches!(order::probe(&client, address, &here, wait).await.reported, Observation::Pace(_)));
 }
