--- a/crates/node/src/attempt.rs
+++ b/crates/node/src/attempt.rs
@@ -18,7 +18,7 @@
 
 use crate::backoff;
 use crate::channel::{Channel, ChannelError};
-use crate::flight::{Attempting, Lane};
+use crate::in_flight::{AttemptGuard, ModelKey};
 use crate::state::Node;
 use crate::throttle;
 
@@ -51,7 +51,7 @@
 impl Job {
     /// What the request shares a limit with. Only models that operators named
     /// have one of their own: callers may name any.
-    pub fn lane(&self) -> Lane {
+    pub fn model_key(&self) -> ModelKey {
         let named = |model: &&id::Model| {
             self.engine().is_some_and(|engine| engine.models.iter().any(|known| known.name == **model))
         };
@@ -151,7 +151,7 @@
     /// Keeps the connection open.
     pub channel: Channel,
     /// Keeps the runner's count.
-    pub counted: Attempting,
+    pub counted: AttemptGuard,
 }
 
 /// A runner to try.
--- a/crates/node/src/candidates.rs
+++ b/crates/node/src/candidates.rs
@@ -105,7 +105,7 @@
         let ledger = node.ledger.lock();
         candidates.into_iter().filter(|runner| ledger.is_sound(runner, now)).count()
     };
-    let (service, model) = job.lane();
+    let (service, model) = job.model_key();
     node.usual.lock().record(&service, model.as_ref(), sound, now)
 }
 
--- a/crates/node/src/dispatch.rs
+++ b/crates/node/src/dispatch.rs
@@ -28,8 +28,8 @@
 const SAMPLES: usize = 32;
 
 /// Notes how long the first event of a request took that went where it was told to.
-pub fn note_first(node: &Node, job: &Job, promise: Promise, took: Millis) {
-    let (service, Some(model)) = job.lane() else { return };
+pub fn record_first_event(node: &Node, job: &Job, promise: Promise, took: Millis) {
+    let (service, Some(model)) = job.model_key() else { return };
     let later = took.0 as i64 - promise.expected as i64;
     let mut samples = node.samples.lock();
     if samples.len() < SAMPLES {
@@ -40,7 +40,7 @@
 /// Asks which group takes a request that is not to go to those in `tried`. None where
 /// there is nobody to ask, or the request is for no model that operators named.
 pub async fn ask(node: &Arc<Node>, job: &Job, urgency: Urgency, tried: &[id::Runner]) -> Option<Reply> {
-    let (_, model) = job.lane();
+    let (_, model) = job.model_key();
     let settings = node.settings();
     let question = Question {
         report: write_report(node, Scope::Node, node.sum_in_flight()),
--- a/crates/node/src/relay.rs
+++ b/crates/node/src/relay.rs
@@ -10,7 +10,7 @@
 use crate::answer::Refusal;
 use crate::attempt::{AttemptError, Job};
 use crate::figures;
-use crate::flight::{Admitted, Running};
+use crate::in_flight::{LimitGuard, RequestGuard};
 use crate::source::{Next, PATIENCE, Source, read_next};
 use crate::state::Node;
 use crate::suspects::{record_completed, wait_deadly};
@@ -26,7 +26,7 @@
     /// Whether a pause was too long already.
     paused: bool,
     /// Counts the request until it is over.
-    _guards: (Running, Admitted),
+    _guards: (RequestGuard, LimitGuard),
 }
 
 impl Relay {
@@ -37,7 +37,7 @@
         tries: Tries,
         feed: mpsc::Sender<Result<Bytes, Cut>>,
         source: Source,
-        guards: (Running, Admitted),
+        guards: (RequestGuard, LimitGuard),
     ) -> Relay {
         Relay { node, job, tries, feed, source, paused: false, _guards: guards }
     }
--- a/crates/node/src/request.rs
+++ b/crates/node/src/request.rs
@@ -17,7 +17,7 @@
 use crate::answer::{Answer, Refusal};
 use crate::attempt::Job;
 use crate::candidates::refuse_unwilling;
-use crate::flight::Running;
+use crate::in_flight::RequestGuard;
 use crate::state::Node;
 use crate::{figures, plain, stream, suspects};
 
@@ -75,7 +75,7 @@
     );
 }
 
-async fn run(node: &Arc<Node>, job: Arc<Job>, running: Running) -> Result<Answer, Refusal> {
+async fn run(node: &Arc<Node>, job: Arc<Job>, running: RequestGuard) -> Result<Answer, Refusal> {
     node.retries.lock().deposit();
     if suspects::is_deadly(node, &job) {
         return Err(Refusal::Deadly);
--- a/crates/node/src/source.rs
+++ b/crates/node/src/source.rs
@@ -10,7 +10,7 @@
 
 use crate::attempt::{Attempt, AttemptError, Job, Pick};
 use crate::channel::Channel;
-use crate::flight::Attempting;
+use crate::in_flight::AttemptGuard;
 use crate::state::Node;
 use crate::suspects::wait_deadly;
 
@@ -27,7 +27,7 @@
     /// What was passed on of it.
     pub splitter: Splitter,
     _channel: Channel,
-    counted: Attempting,
+    counted: AttemptGuard,
 }
 
 /// What comes next in a stream.
--- a/crates/node/src/state.rs
+++ b/crates/node/src/state.rs
@@ -40,7 +40,7 @@
 use crate::crash::Findings;
 use crate::feed::Feed;
 use crate::figures;
-use crate::flight::Lane;
+use crate::in_flight::ModelKey;
 use crate::retries;
 use crate::suspects;
 use crate::unreadable::{Part, Unreadable};
@@ -136,7 +136,7 @@
     /// What nodes have told this one that they have in flight.
     pub reports: Mutex<occupancy::Table>,
     /// How many requests may be under way, by service and model.
-    pub limits: Mutex<HashMap<Lane, Limit>>,
+    pub limits: Mutex<HashMap<ModelKey, Limit>>,
     /// Told when a request ended, and another one may begin.
     pub ended: Notify,
     /// Pays for requests that are sent again.
--- a/crates/node/src/stream.rs
+++ b/crates/node/src/stream.rs
@@ -19,7 +19,7 @@
 use crate::attempt::Job;
 use crate::candidates::has_room;
 use crate::dispatch;
-use crate::flight::{Admitted, Running};
+use crate::in_flight::{LimitGuard, RequestGuard};
 use crate::plain;
 use crate::relay::Relay;
 use crate::source::{Next, Source, read_first};
@@ -52,8 +52,8 @@
 
 /// Runs a request. The answer is given with the first event; the rest follows
 /// in a task of its own, which `running` counts.
-pub async fn run(node: &Arc<Node>, job: Arc<Job>, running: Running) -> Result<Answer, Refusal> {
-    let lane = job.lane();
+pub async fn run(node: &Arc<Node>, job: Arc<Job>, running: RequestGuard) -> Result<Answer, Refusal> {
+    let model_key = job.model_key();
     let patience = Millis(job.route.target_latency.0 / WAITS);
     let left = (job.arrived + job.route.target_latency).since(node.now());
     let reply = dispatch::ask(node, &job, Urgency::Within(left.0), &[]).await;
@@ -64,22 +64,22 @@
         return Err(throttle::refuse(node, &job, Millis(wait)));
     }
     let admitted = match reply {
-        Some(Reply::Take(_)) => Some(node.admit_chosen(&lane)),
+        Some(Reply::Take(_)) => Some(node.admit_assigned(&model_key)),
         Some(Reply::Full(_)) => None,
         None | Some(Reply::Unknown | Reply::Throttled(_) | Reply::Held | Reply::Deadly) => {
-            node.admit(&lane, patience, || has_room(node, &job)).await
+            node.admit(&model_key, patience, || has_room(node, &job)).await
         }
     };
     let wait = match reply {
         Some(Reply::Full(wait)) => Some(Millis(wait)),
         _ => None,
     };
-    let admitted = admitted.ok_or_else(|| Refusal::Full { running: node.count_running(&lane), wait })?;
+    let admitted = admitted.ok_or_else(|| Refusal::Full { running: node.count_running(&model_key), wait })?;
     let mut tries = Tries::choosing(reply);
     let chosen = node.now();
     let opened = open(node, &job, &mut tries).await;
     if let (Ok(Opening::Stream(_)), [_], Some(promise)) = (&opened, &tries.tried[..], tries.promise) {
-        dispatch::note_first(node, &job, promise, node.now().since(chosen));
+        dispatch::record_first_event(node, &job, promise, node.now().since(chosen));
     }
     note_opening(node, &job, &tries, &admitted, opened.as_ref().err());
     let begun = match opened? {
@@ -100,7 +100,7 @@
 
 /// Tells the limit how the first event came. A request that met a silent runner
 /// says nothing of how much the others have to do.
-fn note_opening(node: &Node, job: &Job, tries: &Tries, admitted: &Admitted, refusal: Option<&Refusal>) {
+fn note_opening(node: &Node, job: &Job, tries: &Tries, admitted: &LimitGuard, refusal: Option<&Refusal>) {
     let first_try = tries.tried.len() == 1 && tries.sent == 0;
     let waited = node.now().since(job.arrived);
     let in_time = waited <= job.route.target_latency;
@@ -114,8 +114,8 @@
         );
     }
     match refusal {
-        None if first_try || tries.full > 0 => admitted.note_first(in_time && tries.full == 0),
-        Some(Refusal::NotRun) => admitted.note_first(false),
+        None if first_try || tries.full > 0 => admitted.record_first_event(in_time && tries.full == 0),
+        Some(Refusal::NotRun) => admitted.record_first_event(false),
         _ => {}
     }
 }
