--- a/crates/node/src/attempt.rs
+++ b/crates/node/src/attempt.rs
@@ -45,7 +45,7 @@
     /// When it came.
     pub arrived: Millis,
     /// When it has to be answered.
-    pub end: Millis,
+    pub deadline: Millis,
 }
 
 impl Job {
@@ -65,12 +65,12 @@
 
     /// Whether the time it had is over: nobody waits for an answer, and no runner may be
     /// given a time that is not there.
-    pub fn is_over(&self, node: &Node) -> bool {
-        node.now() >= self.end
+    pub fn is_expired(&self, node: &Node) -> bool {
+        node.now() >= self.deadline
     }
 
     /// For how long its caller waits from now on; none if that is not said.
-    pub fn patience(&self, now: Millis) -> Option<Millis> {
+    pub fn remaining_time(&self, now: Millis) -> Option<Millis> {
         self.terms.wait.map(|wait| (self.arrived + wait).since(now))
     }
 
@@ -259,7 +259,7 @@
         runner: &pick.id,
         account: job.account.as_ref(),
         priority: job.priority,
-        wait: job.terms.wait.map(|_| job.end.since(node.now())),
+        wait: job.terms.wait.map(|_| job.deadline.since(node.now())),
         last_event,
     };
     *request.headers_mut() = header::write_forward(&job.head.headers, &forward);
--- a/crates/node/src/candidates.rs
+++ b/crates/node/src/candidates.rs
@@ -93,7 +93,7 @@
         Admission::Open | Admission::Rated(_) => None,
     });
     let first = ends.collect::<Option<Vec<Millis>>>()?.into_iter().min()?;
-    Some(Refusal::Backoff { wait: first.since(now), patience: job.patience(now) })
+    Some(Refusal::Backoff { wait: first.since(now), remaining: job.remaining_time(now) })
 }
 
 /// How many groups or runners can take a request, as far as this node has seen.
--- a/crates/node/src/dispatch.rs
+++ b/crates/node/src/dispatch.rs
@@ -48,7 +48,7 @@
         model: model?,
         prompt: job.terms.prompt.unwrap_or(0),
         urgency,
-        patience: job.patience(node.now()),
+        patience: job.remaining_time(node.now()),
         tried: list_epochs(node, tried),
         unwilling: node.list_unwilling(),
         fingerprint: job.fingerprint,
--- a/crates/node/src/plain.rs
+++ b/crates/node/src/plain.rs
@@ -34,14 +34,14 @@
     let mut arrived = false;
     let mut place = None;
     while tried.len() < TRIES && sent < job.route.attempts {
-        if job.is_over(node) {
-            return Err(Refusal::Late);
+        if job.is_expired(node) {
+            return Err(Refusal::DeadlineExceeded);
         }
         match suspects::rule(node, job) {
             Ruling::Run | Ruling::Trial => {}
             Ruling::Reject => return Err(Refusal::Deadly),
             Ruling::Quarantine if may_have_run => break,
-            Ruling::Quarantine => return Err(Refusal::Held),
+            Ruling::Quarantine => return Err(Refusal::Quarantined),
         }
         let pick = match throttle::ask(node, job, &tried).await {
             Some(Place::Take(runner)) => pick_at(node, job, &runner),
--- a/crates/node/src/relay.rs
+++ b/crates/node/src/relay.rs
@@ -58,7 +58,7 @@
                 }
             },
             () = feed.closed() => log::info!("request {request}: the caller left"),
-            () = node.wait_until(job.end) => {
+            () = node.wait_until(job.deadline) => {
                 figures::count_cut();
                 log::warn!("request {request}: the stream is cut: its time is over");
                 let _ = feed.try_send(Err(Cut));
--- a/crates/node/src/request.rs
+++ b/crates/node/src/request.rs
@@ -22,15 +22,15 @@
 use crate::{figures, plain, stream, suspects};
 
 /// The urgency of a request where neither account nor route says one.
-const PRIORITY_MAX: u8 = 9;
+const MAX_PRIORITY: u8 = 9;
 
 /// A request that comes while the node starts waits for this long for what the store
 /// holds. That is read 20 to 60 ms after the start; callers who were sent away came
 /// back too late to be answered in time.
-const START: Millis = Millis(150);
+const STARTUP_WAIT: Millis = Millis(150);
 
 /// How long a request waits whose caller and route say nothing.
-const WAIT_UNSET: Millis = Millis(30_000);
+const DEFAULT_CALLER_WAIT: Millis = Millis(30_000);
 
 /// Answers one request.
 pub async fn answer(node: Arc<Node>, request: Request<Incoming>) -> Answer {
@@ -43,10 +43,10 @@
     let outcome = match admit(&node, head, body, terms).await {
         Ok(job) => {
             kind = job.route.kind.name();
-            let end = job.end;
+            let deadline = job.deadline;
             tokio::select! {
                 outcome = run(&node, Arc::new(job), running) => outcome,
-                () = node.wait_until(end) => Err(Refusal::Late),
+                () = node.wait_until(deadline) => Err(Refusal::DeadlineExceeded),
             }
         }
         Err(refusal) => Err(refusal),
@@ -91,23 +91,23 @@
 
 async fn admit(node: &Arc<Node>, head: Parts, body: Incoming, terms: Terms) -> Result<Job, Refusal> {
     let arrived = node.now();
-    node.wait_synced(START).await;
-    let catalog = node.catalog.lock().clone().ok_or(Refusal::Unsure)?;
+    node.wait_synced(STARTUP_WAIT).await;
+    let catalog = node.catalog.lock().clone().ok_or(Refusal::StaleConfig)?;
     let body = read_body(body, catalog.limits.max_body_bytes).await?;
-    let route = find_route(&catalog, &head).map_err(|refusal| verify(node, refusal))?;
+    let route = find_route(&catalog, &head).map_err(|refusal| replace_if_stale(node, refusal))?;
     let account = match route.allow_anonymous || !catalog.has_accounts() {
         true => None,
         false => {
             if !node.trusts_keys() {
-                return Err(Refusal::Unsure);
+                return Err(Refusal::StaleConfig);
             }
-            let key = terms.key.as_deref().ok_or(Refusal::Key)?;
-            Some(catalog.find_account(key).ok_or_else(|| verify(node, Refusal::Key))?)
+            let key = terms.key.as_deref().ok_or(Refusal::UnknownKey)?;
+            Some(catalog.find_account(key).ok_or_else(|| replace_if_stale(node, Refusal::UnknownKey))?)
         }
     };
-    let priority = account.and_then(|account| account.priority).unwrap_or(route.priority).min(PRIORITY_MAX);
+    let priority = account.and_then(|account| account.priority).unwrap_or(route.priority).min(MAX_PRIORITY);
     let target = route.pick_target(rand::rng().random()).ok_or(Refusal::NoRoute)?;
-    let wait = terms.wait.unwrap_or(WAIT_UNSET).min(route.timeout);
+    let wait = terms.wait.unwrap_or(DEFAULT_CALLER_WAIT).min(route.timeout);
     let fingerprint = Fingerprint::of(&fingerprint::Request {
         account: account.map(|account| &account.id),
         method: head.method.as_str(),
@@ -125,14 +125,14 @@
         priority,
         fingerprint,
         arrived,
-        end: arrived + wait,
+        deadline: arrived + wait,
     })
 }
 
 /// What a refusal for want of a route or a key becomes where a newer configuration may
 /// have it: the caller may come back, and others may know.
-fn verify(node: &Node, refusal: Refusal) -> Refusal {
-    if node.knows_catalog() { refusal } else { Refusal::Unsure }
+fn replace_if_stale(node: &Node, refusal: Refusal) -> Refusal {
+    if node.knows_catalog() { refusal } else { Refusal::StaleConfig }
 }
 
 fn find_route(catalog: &Catalog, head: &Parts) -> Result<Arc<Route>, Refusal> {
@@ -145,6 +145,6 @@
     match Limited::new(body, max).collect().await {
         Ok(collected) => Ok(collected.to_bytes()),
         Err(error) if error.is::<http_body_util::LengthLimitError>() => Err(Refusal::TooLarge),
-        Err(_) => Err(Refusal::Body),
+        Err(_) => Err(Refusal::BrokenBody),
     }
 }
--- a/crates/node/src/stream.rs
+++ b/crates/node/src/stream.rs
@@ -87,7 +87,7 @@
         Opening::Whole(answer) => return Ok(answer),
     };
     let (feed, receiver) = mpsc::channel(FEED_DEPTH);
-    let mut answer = Response::new(Body::Feed(receiver));
+    let mut answer = Response::new(Body::Stream(receiver));
     *answer.status_mut() = begun.head.status;
     *answer.headers_mut() = header::strip(&begun.head.headers);
     answer.headers_mut().remove(CONTENT_LENGTH);
--- a/crates/node/src/throttle.rs
+++ b/crates/node/src/throttle.rs
@@ -250,7 +250,7 @@
         let asked = |claim: &&Claim| runners.iter().any(|(id, _)| *id == claim.runner);
         said.throttles.iter().filter(asked).map(|claim| claim.tell(now)).collect()
     };
-    let (refused, patience) = (!has_free(node, job, tried), job.patience(node.now()));
+    let (refused, patience) = (!has_free(node, job, tried), job.remaining_time(node.now()));
     let plea = Plea { service: job.service.clone(), refused, patience, claims };
     let collector = find_asked(node)?;
     if collector.node == node.settings().node {
@@ -277,5 +277,5 @@
 
 /// The refusal of a request where all that can take it have had as many as they take.
 pub(crate) fn refuse(node: &Node, job: &Job, wait: Millis) -> Refusal {
-    Refusal::Throttled { wait, patience: job.patience(node.now()) }
+    Refusal::Throttled { wait, remaining: job.remaining_time(node.now()) }
 }
--- a/crates/node/src/tries.rs
+++ b/crates/node/src/tries.rs
@@ -79,11 +79,11 @@
 pub fn refuse_suspect(node: &Node, job: &Job, reply: Option<Reply>) -> Option<Refusal> {
     match reply {
         Some(Reply::Take(_) | Reply::Full(_) | Reply::Throttled(_)) => None,
-        Some(Reply::Held) => Some(Refusal::Held),
+        Some(Reply::Held) => Some(Refusal::Quarantined),
         Some(Reply::Deadly) => Some(Refusal::Deadly),
         Some(Reply::Unknown) | None => match suspects::rule(node, job) {
             Ruling::Run | Ruling::Trial => None,
-            Ruling::Quarantine => Some(Refusal::Held),
+            Ruling::Quarantine => Some(Refusal::Quarantined),
             Ruling::Reject => Some(Refusal::Deadly),
         },
     }
@@ -109,8 +109,8 @@
         if tries.tried.len() >= TRIES || tries.sent >= job.route.attempts || !repeatable {
             return Err(refusal);
         }
-        if job.is_over(node) {
-            return Err(Refusal::Late);
+        if job.is_expired(node) {
+            return Err(Refusal::DeadlineExceeded);
         }
         if suspects::is_deadly(node, job) {
             return Err(Refusal::Deadly);
@@ -125,7 +125,9 @@
                 });
             }
             match refuse_suspect(node, job, reply) {
-                Some(Refusal::Held) => return Err(if tries.sent == 0 { Refusal::Held } else { refusal }),
+                Some(Refusal::Quarantined) => {
+                    return Err(if tries.sent == 0 { Refusal::Quarantined } else { refusal });
+                }
                 Some(deadly) => return Err(deadly),
                 None => tries.chosen = read_choice(reply),
             }
