--- a/crates/node/src/attempt.rs
+++ b/crates/node/src/attempt.rs
@@ -52,10 +52,10 @@
     /// What the request shares a limit with. Only models that operators named
     /// have one of their own: callers may name any.
     pub fn model_key(&self) -> ModelKey {
-        let named = |model: &&id::Model| {
+        let is_configured = |model: &&id::Model| {
             self.engine().is_some_and(|engine| engine.models.iter().any(|known| known.name == **model))
         };
-        (self.service.clone(), self.terms.model.as_ref().filter(named).cloned())
+        (self.service.clone(), self.terms.model.as_ref().filter(is_configured).cloned())
     }
 
     /// The engine of its service, where that forms groups.
@@ -91,8 +91,8 @@
     NotRun(String),
     /// The runner had no place for it, and did not run it. It may have said for how long it
     /// wants nothing from this node.
-    #[error("not run: no place{}", show_backoff(.0))]
-    Full(Option<Millis>),
+    #[error("not run: no place{}", format_backoff(.0))]
+    Rejected(Option<Millis>),
     /// It may have run there.
     #[error("may have run: {0}")]
     MayHaveRun(String),
@@ -115,13 +115,13 @@
             | AttemptError::Broken(_)
             | AttemptError::Silent(_)
             | AttemptError::Stopped => true,
-            AttemptError::Unreached(_) | AttemptError::NotRun(_) | AttemptError::Full(_) => false,
+            AttemptError::Unreached(_) | AttemptError::NotRun(_) | AttemptError::Rejected(_) => false,
         }
     }
 
     /// Whether the request reached the runner: only then does sending it again count
     /// as a retry, which has to be paid for.
-    pub fn has_arrived(&self) -> bool {
+    pub fn reached_runner(&self) -> bool {
         !matches!(self, AttemptError::Unreached(_))
     }
 
@@ -130,15 +130,15 @@
         match self {
             AttemptError::Unreached(_) => "unreached",
             AttemptError::NotRun(_) => "not_run",
-            AttemptError::Full(None) => "full",
-            AttemptError::Full(Some(_)) => "backoff",
+            AttemptError::Rejected(None) => "full",
+            AttemptError::Rejected(Some(_)) => "backoff",
             AttemptError::MayHaveRun(_) | AttemptError::Broken(_) | AttemptError::Silent(_) => "may_have_run",
             AttemptError::Stopped => "stopped",
         }
     }
 }
 
-fn show_backoff(backoff: &Option<Millis>) -> String {
+fn format_backoff(backoff: &Option<Millis>) -> String {
     backoff.map_or(String::new(), |backoff| format!(", it wants no request for {backoff}"))
 }
 
@@ -151,7 +151,7 @@
     /// Keeps the connection open.
     pub channel: Channel,
     /// Keeps the runner's count.
-    pub counted: AttemptGuard,
+    pub guard: AttemptGuard,
 }
 
 /// A runner to try.
@@ -161,12 +161,12 @@
     pub id: id::Runner,
     /// Where it listens.
     pub address: SocketAddr,
-    /// In which life it was picked, where that is told.
-    pub life: Option<Incarnation>,
+    /// In which incarnation it was picked, where that is told.
+    pub incarnation: Option<Incarnation>,
     /// The release of its software, where that is told.
     pub release: Option<Release>,
     /// When it was picked.
-    pub at: Millis,
+    pub picked_at: Millis,
     /// The data hall it stands in.
     pub hall: id::Hall,
     /// The group it heads, if the request goes to one.
@@ -198,7 +198,7 @@
     pick: &Pick,
     last_event: Option<u64>,
 ) -> Result<Attempt, AttemptError> {
-    let counted = node.begin_attempt(&pick.id);
+    let guard = node.begin_attempt(&pick.id);
     let opened = Channel::open(pick.address).await;
     let mut channel = opened.map_err(|error| {
         let mut ledger = node.ledger.lock();
@@ -210,11 +210,11 @@
     })?;
     node.ledger.lock().note_reached(&pick.hall);
     // Of many requests under way when it says so, those that have not reached it stay here.
-    if backoff::is_unwilling(node, &pick.id, pick.life) {
+    if backoff::is_backing_off(node, &pick.id, pick.incarnation) {
         return Err(AttemptError::Unreached("it wants no requests at present".to_owned()));
     }
-    let request = write_request(node, job, pick, last_event);
-    let asked = node.now();
+    let request = build_request(node, job, pick, last_event);
+    let sent_at = node.now();
     let response = match channel.send(request).await {
         Ok(response) => response,
         Err(error @ (ChannelError::Broken(_) | ChannelError::Connect(_))) => {
@@ -224,21 +224,21 @@
     };
     let status = response.status().as_u16();
     if header::is_leaving(status, response.headers()) {
-        node.record_leaving(&pick.id, pick.life);
+        node.record_leaving(&pick.id, pick.incarnation);
     }
-    let backoff = backoff::note(node, &pick.id, pick.life, status, response.headers());
+    let backoff = backoff::record(node, &pick.id, pick.incarnation, status, response.headers());
     let verdict = header::read_verdict(status, response.headers(), job.terms.request.as_deref());
     if header::is_from_meant(status) && verdict != Verdict::Foreign {
-        throttle::note(node, pick, asked, response.headers());
+        throttle::note(node, pick, sent_at, response.headers());
     }
-    let attempt = Attempt { pick: pick.clone(), response, channel, counted };
+    let attempt = Attempt { pick: pick.clone(), response, channel, guard };
     match verdict {
         Verdict::Ran => Ok(attempt),
         Verdict::TurnedAway => {
             if backoff.is_none() {
                 node.ledger.lock().refuse(&pick.id, node.now());
             }
-            Err(AttemptError::Full(backoff))
+            Err(AttemptError::Rejected(backoff))
         }
         Verdict::NotRun => Err(AttemptError::NotRun(format!("it answered {status}"))),
         Verdict::Foreign => {
@@ -251,7 +251,7 @@
     }
 }
 
-fn write_request(node: &Node, job: &Job, pick: &Pick, last_event: Option<u64>) -> Request<Full<Bytes>> {
+fn build_request(node: &Node, job: &Job, pick: &Pick, last_event: Option<u64>) -> Request<Full<Bytes>> {
     let mut request = Request::new(Full::new(job.body.clone()));
     *request.method_mut() = job.head.method.clone();
     *request.uri_mut() = job.head.uri.clone();
--- a/crates/node/src/backoff.rs
+++ b/crates/node/src/backoff.rs
@@ -9,27 +9,27 @@
 
 /// A runner that names a time which cannot be read wants nothing for this long: it has said
 /// that it wants nothing, and callers of a full fleet come back after a second and more.
-const UNREAD: Millis = Millis(1000);
+const DEFAULT_BACKOFF: Millis = Millis(1000);
 
 /// Reads for how long a runner that turned a request away wants no other one, and keeps it.
-pub(crate) fn note(
+pub(crate) fn record(
     node: &Node,
     id: &id::Runner,
-    life: Option<Incarnation>,
+    incarnation: Option<Incarnation>,
     status: u16,
     headers: &HeaderMap,
 ) -> Option<Millis> {
     let span = header::read_backoff(status, headers).unwrap_or_else(|error| {
-        log::warn!("backoff: {id}: {error}; taken for {UNREAD}");
-        Some(UNREAD)
+        log::warn!("backoff: {id}: {error}; taken for {DEFAULT_BACKOFF}");
+        Some(DEFAULT_BACKOFF)
     })?;
-    if node.said.lock().backoffs.put(id, life, span, node.now()) {
+    if node.said.lock().backoffs.put(id, incarnation, span, node.now()) {
         log::info!("backoff: {id} wants no requests for {span}");
     }
     Some(span)
 }
 
 /// Whether a runner wants no requests from this node at present.
-pub(crate) fn is_unwilling(node: &Node, id: &id::Runner, life: Option<Incarnation>) -> bool {
-    node.said.lock().backoffs.find(id, life, node.now()).is_some()
+pub(crate) fn is_backing_off(node: &Node, id: &id::Runner, incarnation: Option<Incarnation>) -> bool {
+    node.said.lock().backoffs.find(id, incarnation, node.now()).is_some()
 }
--- a/crates/node/src/channel.rs
+++ b/crates/node/src/channel.rs
@@ -20,7 +20,7 @@
 /// How long a connection may take to be made: more than ten round trips between
 /// halls with what a runner adds, and so little that another runner can still send
 /// its first event in the 0.3 s in which most are wanted.
-const CONNECT: Millis = Millis(80);
+const CONNECT_TIMEOUT: Millis = Millis(80);
 
 /// Why a runner gave no answer.
 #[derive(Debug, Error)]
@@ -49,7 +49,7 @@
 impl Channel {
     /// Connects to a runner.
     pub async fn open(address: SocketAddr) -> Result<Channel, ChannelError> {
-        let connecting = tokio::time::timeout(CONNECT.duration(), TcpStream::connect(address));
+        let connecting = tokio::time::timeout(CONNECT_TIMEOUT.duration(), TcpStream::connect(address));
         let timed_out = |_| ChannelError::Connect(std::io::ErrorKind::TimedOut.into());
         let stream = connecting.await.map_err(timed_out)?.map_err(ChannelError::Connect)?;
         stream.set_nodelay(true).map_err(ChannelError::Connect)?;
--- a/crates/node/src/collect.rs
+++ b/crates/node/src/collect.rs
@@ -108,7 +108,7 @@
 async fn tell_halls(node: &Arc<Node>, client: &Client, others: Vec<Peer>) -> Vec<id::Node> {
     let asked = node.now();
     node.presence.lock().start_collecting();
-    retries::keep_pool(node);
+    retries::update_pool(node);
     let sum = node.reports.lock().sum_hall(&node.sum_in_flight(), asked);
     let mut telling = JoinSet::new();
     for collector in others {
--- a/crates/node/src/crash.rs
+++ b/crates/node/src/crash.rs
@@ -91,7 +91,7 @@
         AttemptError::Silent(_) => note_break(node, pick, row),
         AttemptError::Unreached(_)
         | AttemptError::NotRun(_)
-        | AttemptError::Full(_)
+        | AttemptError::Rejected(_)
         | AttemptError::MayHaveRun(_)
         | AttemptError::Stopped => {}
     }
@@ -99,7 +99,7 @@
 
 async fn judge(node: &Arc<Node>, request: &str, pick: &Pick, row: Row) {
     let finding = examine(node, pick).await;
-    let life = pick.life.map_or("-".to_owned(), |life| life.to_string());
+    let life = pick.incarnation.map_or("-".to_owned(), |life| life.to_string());
     log::info!(
         "request {request}: {} in life {life} is found {} after a try broke off there, fingerprint {}",
         pick.id,
@@ -114,7 +114,7 @@
 }
 
 fn note_break(node: &Node, pick: &Pick, row: Row) {
-    let (runner, life, address) = (pick.id.clone(), pick.life, pick.address);
+    let (runner, life, address) = (pick.id.clone(), pick.incarnation, pick.address);
     node.breaks.lock().record(Interruption { row, runner, incarnation: life, address, at: node.now() });
 }
 
@@ -144,7 +144,7 @@
         if finding == Finding::Unknown {
             continue;
         }
-        let rows = node.breaks.lock().take_crashed(&pick.id, pick.life, node.now());
+        let rows = node.breaks.lock().take_crashed(&pick.id, pick.incarnation, node.now());
         if finding == Finding::Ended && !rows.is_empty() {
             log::info!("crash: {} has ended under {} requests", pick.id, rows.len());
             suspects::take(&node, &rows, Origin::Hall);
@@ -184,7 +184,7 @@
     let probed = order::probe(&node.client, pick.address, &pick.id, ANSWER).await;
     match probed.reported {
         Observation::Gone => Finding::Ended,
-        Observation::Pace(_) if is_later(probed.life, pick.life) => Finding::Ended,
+        Observation::Pace(_) if is_later(probed.life, pick.incarnation) => Finding::Ended,
         Observation::Pace(_) => Finding::Sound,
         Observation::Silent => Finding::Unknown,
     }
--- a/crates/node/src/dispatch.rs
+++ b/crates/node/src/dispatch.rs
@@ -19,30 +19,35 @@
 
 /// How long the collector may take to answer: it answers within a few milliseconds, and
 /// without it the node chooses by itself.
-pub(crate) const ANSWER: Millis = Millis(40);
+pub(crate) const COLLECTOR_TIMEOUT: Millis = Millis(40);
 
 /// A collector that did not answer is not asked for this long.
-const AVOID: Millis = Millis(1000);
+const COLLECTOR_AVOID_TIME: Millis = Millis(1000);
 
-/// First events kept until the next question, for the node may have nobody to ask.
-const SAMPLES: usize = 32;
+/// First events kept until the next query, for the node may have nobody to ask.
+const MAX_SAMPLES: usize = 32;
 
-/// Notes how long the first event of a request took that went where it was told to.
-pub fn record_first_event(node: &Node, job: &Job, promise: Promise, took: Millis) {
+/// Notes how long the first event of a request delay that went where it was told to.
+pub fn record_first_event(node: &Node, job: &Job, assignment: Promise, delay: Millis) {
     let (service, Some(model)) = job.model_key() else { return };
-    let later = took.0 as i64 - promise.expected as i64;
+    let later = delay.0 as i64 - assignment.expected as i64;
     let mut samples = node.samples.lock();
-    if samples.len() < SAMPLES {
+    if samples.len() < MAX_SAMPLES {
         samples.push(Sample { service, model, later });
     }
 }
 
 /// Asks which group takes a request that is not to go to those in `tried`. None where
 /// there is nobody to ask, or the request is for no model that operators named.
-pub async fn ask(node: &Arc<Node>, job: &Job, urgency: Urgency, tried: &[id::Runner]) -> Option<Reply> {
+pub async fn query_collector(
+    node: &Arc<Node>,
+    job: &Job,
+    urgency: Urgency,
+    tried: &[id::Runner],
+) -> Option<Reply> {
     let (_, model) = job.model_key();
     let settings = node.settings();
-    let question = Question {
+    let query = Question {
         report: write_report(node, Scope::Node, node.sum_in_flight()),
         service: job.service.clone(),
         model: model?,
@@ -54,52 +59,52 @@
         fingerprint: job.fingerprint,
         samples: std::mem::take(&mut *node.samples.lock()),
     };
-    let collector = find_asked(node)?;
+    let collector = find_available_collector(node)?;
     if collector.node == settings.node {
-        return Some(choose(node, &question));
+        return Some(choose_group(node, &query));
     }
-    match peer::ask_group(node, &collector, &question, ANSWER).await {
+    match peer::ask_group(node, &collector, &query, COLLECTOR_TIMEOUT).await {
         Ok(reply) => Some(reply),
         Err(error) => {
             log::info!("request {}: {} does not choose a group: {error}", job.id(), collector.node);
-            avoid(node, collector);
+            avoid_collector(node, collector);
             None
         }
     }
 }
 
 /// The collector that this node asks.
-pub(crate) fn find_asked(node: &Node) -> Option<Peer> {
+pub(crate) fn find_available_collector(node: &Node) -> Option<Peer> {
     let hall = &node.settings().hall;
     let mut avoided = node.unanswering.lock();
     avoided.forget(node.now());
     find_collector(node, hall, &avoided)
 }
 
-/// A collector did not answer a question and is not asked for a while.
-pub(crate) fn avoid(node: &Node, collector: Peer) {
-    node.unanswering.lock().add(collector.node, node.now() + AVOID);
+/// A collector did not answer a query and is not asked for a while.
+pub(crate) fn avoid_collector(node: &Node, collector: Peer) {
+    node.unanswering.lock().add(collector.node, node.now() + COLLECTOR_AVOID_TIME);
 }
 
 fn list_epochs(node: &Node, runners: &[id::Runner]) -> Vec<Epoch> {
     let roster = node.roster.lock();
-    let epoch = |id: &id::Runner| Some(roster.get_last_known(id)?.membership.as_ref()?.epoch);
-    runners.iter().filter_map(epoch).collect()
+    let find_epoch = |id: &id::Runner| Some(roster.get_last_known(id)?.membership.as_ref()?.epoch);
+    runners.iter().filter_map(find_epoch).collect()
 }
 
 /// As the collector, takes in what the asking node has in flight and chooses a group.
-pub fn take(node: &Node, question: Question) -> Reply {
-    collect::note(node, question.report.clone());
-    let reply = choose(node, &question);
-    if let Reply::Take(promise) = reply {
-        node.reports.lock().begin(&question.report.node, promise.epoch);
+pub fn answer_query(node: &Node, query: Question) -> Reply {
+    collect::note(node, query.report.clone());
+    let reply = choose_group(node, &query);
+    if let Reply::Take(assignment) = reply {
+        node.reports.lock().begin(&query.report.node, assignment.epoch);
     }
     reply
 }
 
 /// The halls whose nodes do not tell this one what they have in flight; none if too many
 /// nodes of this hall do not either.
-fn list_silent(node: &Node, hall: &id::Hall, now: Millis) -> Option<Vec<id::Hall>> {
+fn list_silent_halls(node: &Node, hall: &id::Hall, now: Millis) -> Option<Vec<id::Hall>> {
     let directory = node.directory.lock();
     let reports = node.reports.lock();
     let nodes = directory.list_collectors(hall).len();
@@ -110,30 +115,30 @@
     Some(others.filter(|other| !reports.hears(other, now)).cloned().collect())
 }
 
-fn choose(node: &Node, question: &Question) -> Reply {
-    if question.urgency != Urgency::Again {
-        retries::earn_pooled(node);
+fn choose_group(node: &Node, query: &Question) -> Reply {
+    if query.urgency != Urgency::Again {
+        retries::deposit_pooled(node);
     }
     let Some(catalog) = node.catalog.lock().clone() else { return Reply::Unknown };
-    let engine = catalog.find_service(&question.service).and_then(|service| service.engine.as_ref());
+    let engine = catalog.find_service(&query.service).and_then(|service| service.engine.as_ref());
     let Some(engine) = engine else { return Reply::Unknown };
-    let Some(model) = engine.models.iter().find(|model| model.name == question.model) else {
+    let Some(model) = engine.models.iter().find(|model| model.name == query.model) else {
         return Reply::Unknown;
     };
-    let own = node.sum_in_flight();
+    let own_in_flight = node.sum_in_flight();
     let (settings, now) = (node.settings(), node.now());
-    let Some(silent) = list_silent(node, &settings.hall, now) else { return Reply::Unknown };
+    let Some(silent) = list_silent_halls(node, &settings.hall, now) else { return Reply::Unknown };
     let roster = node.roster.lock();
-    let heads = roster.list_heads(&question.service, &question.model, &node.plans.lock());
-    let loads = node.reports.lock().sum_loads(&own, now);
+    let heads = roster.list_heads(&query.service, &query.model, &node.plans.lock());
+    let loads = node.reports.lock().sum_loads(&own_in_flight, now);
     let sound = {
         let ledger = node.ledger.lock();
-        heads.iter().filter(|head| ledger.is_sound(head, now) && question.is_welcome_at(head)).count()
+        heads.iter().filter(|head| ledger.is_sound(head, now) && query.is_welcome_at(head)).count()
     };
-    let ruling = rule(node, question, sound, now);
+    let ruling = decide_ruling(node, query, sound, now);
     let trials = match ruling {
         Ruling::Run => Vec::new(),
-        Ruling::Trial => node.trials.lock().list_trial_groups(&question.fingerprint, now),
+        Ruling::Trial => node.trials.lock().list_trial_groups(&query.fingerprint, now),
         Ruling::Quarantine => return Reply::Held,
         Ruling::Reject => return Reply::Deadly,
     };
@@ -149,26 +154,26 @@
     };
     let load = |epoch: Epoch| loads.get(&epoch).copied().unwrap_or(Load::default());
     let mut dispatcher = node.dispatcher.lock();
-    for sample in &question.samples {
+    for sample in &query.samples {
         dispatcher.learn(sample);
     }
-    let Chosen { reply, best } = dispatcher.choose(&choice, question, load, now, &mut rand::rng());
+    let Chosen { reply, best } = dispatcher.choose(&choice, query, load, now, &mut rand::rng());
     throttle::note_choice(node, &heads, reply, best, now);
     if let Reply::Throttled(soonest) = reply {
-        let wait = throttle::plan_return(node, question, &limited, now);
+        let wait = throttle::plan_return(node, query, &limited, now);
         return Reply::Throttled(wait.map_or(soonest, |wait| wait.0));
     }
-    if let (Ruling::Trial, Reply::Take(promise)) = (ruling, reply) {
-        node.trials.lock().start(question.fingerprint, Some(promise.epoch), now);
+    if let (Ruling::Trial, Reply::Take(assignment)) = (ruling, reply) {
+        node.trials.lock().start(query.fingerprint, Some(assignment.epoch), now);
     }
     reply
 }
 
 /// What becomes of a request that a node asks for, as far as this hall knows.
-fn rule(node: &Node, question: &Question, groups: usize, now: Millis) -> Ruling {
-    let takers = node.usual.lock().record(&question.service, Some(&question.model), groups, now);
-    let level = node.suspects.lock().level(&question.fingerprint);
+fn decide_ruling(node: &Node, query: &Question, groups: usize, now: Millis) -> Ruling {
+    let capacity = node.usual.lock().record(&query.service, Some(&query.model), groups, now);
+    let level = node.suspects.lock().level(&query.fingerprint);
     let mut trials = node.trials.lock();
-    trials.finish_at(&question.fingerprint, &question.tried);
-    trials.decide(&question.fingerprint, level, takers, now)
+    trials.finish_at(&query.fingerprint, &query.tried);
+    trials.decide(&query.fingerprint, level, capacity, now)
 }
--- a/crates/node/src/front.rs
+++ b/crates/node/src/front.rs
@@ -20,11 +20,11 @@
 use crate::state::Node;
 
 /// How long a connection may rest while no configuration says so.
-const IDLE_UNSET: Millis = Millis(15_000);
+const DEFAULT_IDLE_TIMEOUT: Millis = Millis(15_000);
 
 /// What a connection may hold unread, in bytes, at the least: a head and a piece
 /// of a body.
-const BUFFER_UNSET: usize = 32 * 1024;
+const MIN_BUFFER_BYTES: usize = 32 * 1024;
 
 /// The pause after a connection could not be taken, such as for want of file
 /// descriptors.
@@ -58,8 +58,8 @@
         log::debug!("front: {error}");
     }
     let limits = node.catalog.lock().as_ref().map(|catalog| catalog.limits);
-    let idle = limits.map_or(IDLE_UNSET, |limits| limits.idle_timeout);
-    let buffer = limits.map_or(BUFFER_UNSET, |limits| (2 * limits.max_head_bytes).max(BUFFER_UNSET));
+    let idle = limits.map_or(DEFAULT_IDLE_TIMEOUT, |limits| limits.idle_timeout);
+    let buffer = limits.map_or(MIN_BUFFER_BYTES, |limits| (2 * limits.max_head_bytes).max(MIN_BUFFER_BYTES));
     let mut closed = node.closed.subscribe();
     let service = service_fn(|request: Request<Incoming>| {
         let node = node.clone();
@@ -96,10 +96,10 @@
 
 /// How long a node that is about to stop goes on taking requests: the balancer
 /// asks once a second and passes a node over after two misses.
-pub const NOTICE: Millis = Millis(2500);
+pub const DRAIN_NOTICE: Millis = Millis(2500);
 
 /// Answers the balancer until the process ends.
-pub async fn serve_ready(node: Arc<Node>, listener: TcpListener) {
+pub async fn serve_readiness(node: Arc<Node>, listener: TcpListener) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
@@ -107,7 +107,7 @@
                 tokio::spawn(async move {
                     let service = service_fn(move |_: Request<Incoming>| {
                         let ready = node.is_ready();
-                        async move { Ok::<Answer, Infallible>(answer_ready(ready)) }
+                        async move { Ok::<Answer, Infallible>(answer_readiness(ready)) }
                     });
                     let connection = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
                     if let Err(error) = connection.await {
@@ -120,7 +120,7 @@
     }
 }
 
-fn answer_ready(ready: bool) -> Answer {
+fn answer_readiness(ready: bool) -> Answer {
     let (status, text) =
         if ready { (StatusCode::OK, "ready\n") } else { (StatusCode::SERVICE_UNAVAILABLE, "not ready\n") };
     let mut answer = Response::new(Body::Whole(Some(Bytes::from_static(text.as_bytes()))));
--- a/crates/node/src/intake.rs
+++ b/crates/node/src/intake.rs
@@ -92,7 +92,7 @@
     if !back {
         record::retain(node, &suspects);
         node.directory.lock().retain(|name| nodes.contains(name));
-        retries::take_share(node);
+        retries::update_budget(node);
     }
     let own = &node.settings().node;
     if !nodes.contains(own) {
@@ -155,7 +155,7 @@
         match entry {
             Ok(peer) => {
                 node.directory.lock().insert(peer);
-                retries::take_share(node);
+                retries::update_budget(node);
             }
             Err(error) => node.note_unreadable(&item.key, Part::Node, "form", error),
         }
@@ -190,7 +190,7 @@
             node.entry_gone.notify_one();
         }
         node.directory.lock().remove(&name);
-        retries::take_share(node);
+        retries::update_budget(node);
     } else if !record::take_gone(node, key) {
         log::warn!("store: `{key}` was removed");
     }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -6,7 +6,7 @@
 //! [`collect`] tells nodes what the others have in flight, and `dispatch` asks one of
 //! them which group takes a request. [`front`] takes callers' requests, [`request`]
 //! admits and routes them, [`plain`] and [`stream`] run them at runners (a stream try by
-//! try, in `tries`, from a `source`, passed on by `relay`; `retries` pays for further tries), and [`decider`] gives orders
+//! try, in `tries`, from a `runner_stream`, passed on by `relay`; `retries` pays for further tries), and [`decider`] gives orders
 //! to the runners, which `prober` asks how they are, while this node holds the lease for
 //! that. `backoff` keeps for how long runners want no requests. `crash` finds out whether a runner
 //! ended under a request, `suspects` exchanges that
@@ -45,7 +45,7 @@
 mod relay;
 pub mod request;
 mod retries;
-mod source;
+mod runner_stream;
 pub mod start;
 pub mod state;
 pub mod stream;
--- a/crates/node/src/member.rs
+++ b/crates/node/src/member.rs
@@ -95,7 +95,7 @@
             Err(error) => log::error!("member: the entry of a node cannot be read: {error}"),
         }
     }
-    retries::take_share(node);
+    retries::update_budget(node);
 }
 
 /// The node whose entry has this key, if it is one's. Earlier versions left the hall out.
--- a/crates/node/src/peer.rs
+++ b/crates/node/src/peer.rs
@@ -27,7 +27,7 @@
 use crate::feed::UnpackError;
 use crate::figures;
 use crate::front::pause_accepting;
-use crate::retries::{self, Loan};
+use crate::retries;
 use crate::state::Node;
 use crate::suspects::{self, Letter};
 use crate::throttle::{self, Place, Plea};
@@ -131,7 +131,12 @@
 }
 
 /// Asks the collector of the hall for a retry. Returns whether it lends one.
-pub(crate) async fn ask_loan(node: &Node, to: &Peer, loan: &Loan, wait: Millis) -> Result<bool, CallError> {
+pub(crate) async fn ask_loan(
+    node: &Node,
+    to: &Peer,
+    loan: &retries::Query,
+    wait: Millis,
+) -> Result<bool, CallError> {
     suspects::exchange(node, &node.client, to, LOAN_PATH, loan, wait).await
 }
 
@@ -192,7 +197,7 @@
     } else if path == GROUP_PATH {
         if let Ok(Letter { question, push }) = rmp_serde::from_slice::<Letter<Question>>(&bytes) {
             let pull = suspects::answer(node, &push, Scope::Node);
-            return reply_encoded(&suspects::Reply { answer: dispatch::take(node, question), pull });
+            return reply_encoded(&suspects::Reply { answer: dispatch::answer_query(node, question), pull });
         }
     } else if path == PLACE_PATH {
         if let Ok(Letter { question, push }) = rmp_serde::from_slice::<Letter<Plea>>(&bytes) {
@@ -200,9 +205,9 @@
             return reply_encoded(&suspects::Reply { answer: throttle::give_place(node, &question), pull });
         }
     } else if path == LOAN_PATH {
-        if let Ok(Letter { question, push }) = rmp_serde::from_slice::<Letter<Loan>>(&bytes) {
+        if let Ok(Letter { question, push }) = rmp_serde::from_slice::<Letter<retries::Query>>(&bytes) {
             let pull = suspects::answer(node, &push, Scope::Node);
-            return reply_encoded(&suspects::Reply { answer: retries::lend(node, &question), pull });
+            return reply_encoded(&suspects::Reply { answer: retries::grant(node, &question), pull });
         }
     } else if path == PATH
         && let Ok(question) = rmp_serde::from_slice::<Ask>(&bytes)
--- a/crates/node/src/plain.rs
+++ b/crates/node/src/plain.rs
@@ -11,7 +11,7 @@
 
 use crate::answer::{Answer, Body, Refusal};
 use crate::attempt::{Attempt, AttemptError, Job, Pick, send};
-use crate::candidates::{has_free, pick as pick_free, pick_at, refuse_unwilling};
+use crate::candidates::{has_unlimited, pick_by_id, pick_locally as pick_free, refuse_if_backing_off};
 use crate::crash;
 use crate::figures;
 use crate::retries;
@@ -20,20 +20,20 @@
 use crate::throttle::{self, Place};
 
 /// The largest answer that is held until it is whole, in bytes.
-const ANSWER_MAX: usize = 4 << 20;
+const MAX_ANSWER_BYTES: usize = 4 << 20;
 
 /// Tries of one request, refused ones included. Runners that refuse answer at
 /// once; more would only find the others refusing as well.
-const TRIES: usize = 3;
+const MAX_TRIES: usize = 3;
 
 /// Runs a request and answers with the whole of the runner's answer.
 pub async fn run(node: &Arc<Node>, job: &Job) -> Result<Answer, Refusal> {
     let mut tried = Vec::new();
-    let mut sent = 0;
+    let mut possible_runs = 0;
     let mut may_have_run = false;
-    let mut arrived = false;
-    let mut place = None;
-    while tried.len() < TRIES && sent < job.route.attempts {
+    let mut reached_runner = false;
+    let mut permit_wait = None;
+    while tried.len() < MAX_TRIES && possible_runs < job.route.attempts {
         if job.is_expired(node) {
             return Err(Refusal::DeadlineExceeded);
         }
@@ -44,9 +44,9 @@
             Ruling::Quarantine => return Err(Refusal::Quarantined),
         }
         let pick = match throttle::ask(node, job, &tried).await {
-            Some(Place::Take(runner)) => pick_at(node, job, &runner),
-            Some(Place::Wait(wait)) if !has_free(node, job, &tried) => {
-                place = Some(wait);
+            Some(Place::Take(runner)) => pick_by_id(node, job, &runner),
+            Some(Place::Wait(wait)) if !has_unlimited(node, job, &tried) => {
+                permit_wait = Some(wait);
                 break;
             }
             Some(Place::Free(claims)) => {
@@ -56,12 +56,12 @@
             Some(Place::Wait(_)) | None => None,
         };
         let Some(pick) = pick.or_else(|| pick_free(node, job, &tried)) else { break };
-        if arrived && !retries::spend(node, job).await {
+        if reached_runner && !retries::spend(node, job).await {
             break;
         }
         tried.push(pick.id.clone());
         let outcome = tokio::select! {
-            outcome = try_at(node, job, &pick) => outcome,
+            outcome = send_and_read(node, job, &pick) => outcome,
             () = suspects::wait_deadly(node, job) => Err(AttemptError::Stopped),
         };
         match outcome {
@@ -72,10 +72,10 @@
             Err(error) => {
                 figures::count_failed_attempt(error.reason());
                 log::info!("request {}: try {} at {}: {error}", job.id(), tried.len(), pick.id);
-                arrived |= error.has_arrived();
+                reached_runner |= error.reached_runner();
                 crash::investigate(node, job, &pick, &error).await;
                 if error.may_have_run() {
-                    sent += 1;
+                    possible_runs += 1;
                     may_have_run = true;
                     if !job.route.is_repeatable() {
                         break;
@@ -84,34 +84,34 @@
             }
         }
     }
-    if let Some(wait) = place.filter(|_| !may_have_run) {
+    if let Some(wait) = permit_wait.filter(|_| !may_have_run) {
         return Err(throttle::refuse(node, job, wait));
     }
     Err(match (may_have_run, tried.is_empty()) {
         (true, _) => Refusal::MayHaveRun,
-        (false, true) => refuse_unwilling(node, job).unwrap_or(Refusal::NoRunner),
-        (false, false) => refuse_unwilling(node, job).unwrap_or(Refusal::NotRun),
+        (false, true) => refuse_if_backing_off(node, job).unwrap_or(Refusal::NoRunner),
+        (false, false) => refuse_if_backing_off(node, job).unwrap_or(Refusal::NotRun),
     })
 }
 
-async fn try_at(node: &Arc<Node>, job: &Job, pick: &Pick) -> Result<Answer, AttemptError> {
+async fn send_and_read(node: &Arc<Node>, job: &Job, pick: &Pick) -> Result<Answer, AttemptError> {
     let attempt = send(node, job, pick, None).await?;
-    read_whole(node, attempt).await
+    read_answer(node, attempt).await
 }
 
 /// Reads an answer to its end. A length that it names must be met.
-pub async fn read_whole(node: &Node, attempt: Attempt) -> Result<Answer, AttemptError> {
+pub async fn read_answer(node: &Node, attempt: Attempt) -> Result<Answer, AttemptError> {
     let (head, body) = attempt.response.into_parts();
-    let collected = Limited::new(body, ANSWER_MAX).collect().await;
+    let collected = Limited::new(body, MAX_ANSWER_BYTES).collect().await;
     let bytes = collected.map_err(|error| {
         node.ledger.lock().blame(&attempt.pick.id, node.now());
         AttemptError::Broken(format!("its answer broke off: {error}"))
     })?;
     node.ledger.lock().progress(&attempt.pick.id, node.now());
-    Ok(pass_on(head.status, &head.headers, bytes.to_bytes()))
+    Ok(build_answer(head.status, &head.headers, bytes.to_bytes()))
 }
 
-fn pass_on(status: hyper::StatusCode, headers: &HeaderMap, bytes: Bytes) -> Answer {
+fn build_answer(status: hyper::StatusCode, headers: &HeaderMap, bytes: Bytes) -> Answer {
     let mut answer = Response::new(Body::Whole(Some(bytes)));
     *answer.status_mut() = status;
     *answer.headers_mut() = header::strip(headers);
--- a/crates/node/src/relay.rs
+++ b/crates/node/src/relay.rs
@@ -11,103 +11,105 @@
 use crate::attempt::{AttemptError, Job};
 use crate::figures;
 use crate::in_flight::{LimitGuard, RequestGuard};
-use crate::source::{Next, PATIENCE, Source, read_next};
+use crate::runner_stream::{RunnerStream, SILENCE_TIMEOUT, StreamItem, read_next_events};
 use crate::state::Node;
 use crate::suspects::{record_completed, wait_deadly};
-use crate::tries::{Tries, next_attempt};
+use crate::tries::{Tries, start_next_attempt};
 
 /// Passes the rest of a stream on.
 pub struct Relay {
     node: Arc<Node>,
     job: Arc<Job>,
     tries: Tries,
-    feed: mpsc::Sender<Result<Bytes, Cut>>,
-    source: Source,
+    sender: mpsc::Sender<Result<Bytes, Cut>>,
+    stream: RunnerStream,
     /// Whether a pause was too long already.
-    paused: bool,
+    gap_logged: bool,
     /// Counts the request until it is over.
     _guards: (RequestGuard, LimitGuard),
 }
 
 impl Relay {
-    /// A stream of which the first events have gone into `feed`.
+    /// A stream of which the first events have gone into `sender`.
     pub fn new(
         node: Arc<Node>,
         job: Arc<Job>,
         tries: Tries,
-        feed: mpsc::Sender<Result<Bytes, Cut>>,
-        source: Source,
+        sender: mpsc::Sender<Result<Bytes, Cut>>,
+        stream: RunnerStream,
         guards: (RequestGuard, LimitGuard),
     ) -> Relay {
-        Relay { node, job, tries, feed, source, paused: false, _guards: guards }
+        Relay { node, job, tries, sender, stream, gap_logged: false, _guards: guards }
     }
 
     /// Passes events on until the stream, the caller or the time is over.
     pub async fn run(mut self) {
-        let feed = self.feed.clone();
+        let sender = self.sender.clone();
         let (job, node) = (self.job.clone(), self.node.clone());
         let request = job.id();
         tokio::select! {
-            outcome = self.pass_on() => match outcome {
+            outcome = self.forward() => match outcome {
                 Ok(()) => {}
                 Err(refusal) => {
                     figures::count_cut();
                     log::warn!("request {request}: the stream is cut: {refusal}");
                     // A caller that is gone needs no cut.
-                    let _ = feed.send(Err(Cut)).await;
+                    let _ = sender.send(Err(Cut)).await;
                 }
             },
-            () = feed.closed() => log::info!("request {request}: the caller left"),
+            () = sender.closed() => log::info!("request {request}: the caller left"),
             () = node.wait_until(job.deadline) => {
                 figures::count_cut();
                 log::warn!("request {request}: the stream is cut: its time is over");
-                let _ = feed.try_send(Err(Cut));
+                let _ = sender.try_send(Err(Cut));
             }
         }
     }
 
-    async fn pass_on(&mut self) -> Result<(), Refusal> {
+    async fn forward(&mut self) -> Result<(), Refusal> {
         loop {
-            let since = self.node.now();
-            match self.next().await {
-                Ok(Next::Events(events)) => {
-                    self.note_pause(since);
-                    if self.feed.send(Ok(events)).await.is_err() {
+            let started = self.node.now();
+            match self.next_events().await {
+                Ok(StreamItem::Events(events)) => {
+                    self.log_long_gap(started);
+                    if self.sender.send(Ok(events)).await.is_err() {
                         return Ok(());
                     }
                 }
-                Ok(Next::End) => {
+                Ok(StreamItem::End) => {
                     record_completed(&self.node, &self.job.fingerprint);
                     return Ok(());
                 }
-                Err(error) => self.go_on(&error).await?,
+                Err(error) => self.resume(&error).await?,
             }
         }
     }
 
     /// Says so once when a pause was longer than what counts as in time.
-    fn note_pause(&mut self, since: Millis) {
-        let pause = self.node.now().since(since);
-        if self.paused || self.job.route.target_gap.is_none_or(|gap| pause <= gap) {
+    fn log_long_gap(&mut self, started: Millis) {
+        let pause = self.node.now().since(started);
+        if self.gap_logged || self.job.route.target_gap.is_none_or(|gap| pause <= gap) {
             return;
         }
-        self.paused = true;
-        let last = self.source.splitter.last().map_or("-".to_owned(), |last| last.to_string());
-        let runner = &self.source.pick.id;
+        self.gap_logged = true;
+        let last_event =
+            self.stream.splitter.last().map_or("-".to_owned(), |last_event| last_event.to_string());
+        let runner = &self.stream.pick.id;
         log::info!(
-            "request {}: late: {pause} without an event before event {last} of {runner}",
+            "request {}: late: {pause} without an event before event {last_event} of {runner}",
             self.job.id()
         );
     }
 
     /// The next events of the present runner, as long as its group is not lost.
-    async fn next(&mut self) -> Result<Next, AttemptError> {
-        let pick = self.source.pick.clone();
-        let next = tokio::time::timeout(PATIENCE.duration(), read_next(&self.node, &mut self.source));
+    async fn next_events(&mut self) -> Result<StreamItem, AttemptError> {
+        let pick = self.stream.pick.clone();
+        let next =
+            tokio::time::timeout(SILENCE_TIMEOUT.duration(), read_next_events(&self.node, &mut self.stream));
         tokio::select! {
             next = next => next.unwrap_or_else(|_| {
                 self.node.ledger.lock().blame(&pick.id, self.node.now());
-                Err(AttemptError::Silent(format!("no event for {PATIENCE}")))
+                Err(AttemptError::Silent(format!("no event for {SILENCE_TIMEOUT}")))
             }),
             () = wait_deadly(&self.node, &self.job) => Err(AttemptError::Stopped),
             () = pick.wait_lost(&self.node), if self.job.route.is_repeatable() => {
@@ -117,17 +119,17 @@
     }
 
     /// Takes the stream up at another runner.
-    async fn go_on(&mut self, error: &AttemptError) -> Result<(), Refusal> {
-        self.tries.note(&self.node, &self.job, error).await;
-        let last = self.source.splitter.last();
+    async fn resume(&mut self, error: &AttemptError) -> Result<(), Refusal> {
+        self.tries.record_failure(&self.node, &self.job, error).await;
+        let last_event = self.stream.splitter.last();
         loop {
-            let attempt = next_attempt(&self.node, &self.job, &mut self.tries, last).await?;
+            let attempt = start_next_attempt(&self.node, &self.job, &mut self.tries, last_event).await?;
             if !attempt.response.status().is_success() {
                 let error = AttemptError::MayHaveRun(format!("it answered {}", attempt.response.status()));
-                self.tries.note(&self.node, &self.job, &error).await;
+                self.tries.record_failure(&self.node, &self.job, &error).await;
                 continue;
             }
-            self.source = Source::open(attempt, last).1;
+            self.stream = RunnerStream::open(attempt, last_event).1;
             return Ok(());
         }
     }
--- a/crates/node/src/start.rs
+++ b/crates/node/src/start.rs
@@ -50,7 +50,7 @@
     tasks.spawn(pulse::run(node.clone()));
     tasks.spawn(peer::serve(node.clone(), listeners.peers));
     tasks.spawn(decider::run(node.clone()));
-    tasks.spawn(front::serve_ready(node.clone(), listeners.ready));
+    tasks.spawn(front::serve_readiness(node.clone(), listeners.ready));
     tasks.spawn(front::serve_callers(node.clone(), listeners.callers));
     tasks
 }
@@ -62,7 +62,7 @@
     let end = node.now() + (node.settings().bounds.grace - GRACE_MARGIN);
     log::info!("node: told to stop, {} requests under way", node.running());
     node.draining.send_replace(true);
-    tokio::time::sleep(front::NOTICE.duration()).await;
+    tokio::time::sleep(front::DRAIN_NOTICE.duration()).await;
     node.closed.send_replace(true);
     while node.running() > 0 && node.now() < end {
         tokio::time::sleep(LOOK.duration()).await;
--- a/crates/node/src/state.rs
+++ b/crates/node/src/state.rs
@@ -222,7 +222,7 @@
     /// Takes settings that were read anew.
     pub fn set_settings(&self, settings: Settings) {
         *self.settings.lock() = Arc::new(settings);
-        retries::take_share(self);
+        retries::update_budget(self);
     }
 
     /// The time.
--- a/crates/node/src/stream.rs
+++ b/crates/node/src/stream.rs
@@ -22,31 +22,31 @@
 use crate::in_flight::{LimitGuard, RequestGuard};
 use crate::plain;
 use crate::relay::Relay;
-use crate::source::{Next, Source, read_first};
+use crate::runner_stream::{RunnerStream, StreamItem, read_first_events};
 use crate::state::Node;
 use crate::suspects::record_completed;
 use crate::throttle;
-use crate::tries::{Tries, next_attempt, refuse_suspect};
+use crate::tries::{Tries, refuse_suspect, start_next_attempt};
 
 /// Events held for a caller that reads slowly.
-const FEED_DEPTH: usize = 8;
+const MAX_BUFFERED_CHUNKS: usize = 8;
 
 /// A request waits at this node for at most this part of the wanted time of its first
 /// event: places become free every few milliseconds, and four fifths of the time are
 /// left for the runner.
-const WAITS: u64 = 5;
+const MAX_WAIT_DIVISOR: u64 = 5;
 
-/// A stream that has begun.
-struct Begun {
+/// A stream that has started.
+struct StartedStream {
     head: response::Parts,
     first: Bytes,
-    source: Source,
+    stream: RunnerStream,
     ended: bool,
 }
 
 /// What the first try that answered came to.
-enum Opening {
-    Stream(Box<Begun>),
+enum FirstAnswer {
+    Stream(Box<StartedStream>),
     Whole(Answer),
 }
 
@@ -54,9 +54,9 @@
 /// in a task of its own, which `running` counts.
 pub async fn run(node: &Arc<Node>, job: Arc<Job>, running: RequestGuard) -> Result<Answer, Refusal> {
     let model_key = job.model_key();
-    let patience = Millis(job.route.target_latency.0 / WAITS);
-    let left = (job.arrived + job.route.target_latency).since(node.now());
-    let reply = dispatch::ask(node, &job, Urgency::Within(left.0), &[]).await;
+    let max_wait = Millis(job.route.target_latency.0 / MAX_WAIT_DIVISOR);
+    let remaining = (job.arrived + job.route.target_latency).since(node.now());
+    let reply = dispatch::query_collector(node, &job, Urgency::Within(remaining.0), &[]).await;
     if let Some(refusal) = refuse_suspect(node, &job, reply) {
         return Err(refusal);
     }
@@ -67,7 +67,7 @@
         Some(Reply::Take(_)) => Some(node.admit_assigned(&model_key)),
         Some(Reply::Full(_)) => None,
         None | Some(Reply::Unknown | Reply::Throttled(_) | Reply::Held | Reply::Deadly) => {
-            node.admit(&model_key, patience, || has_room(node, &job)).await
+            node.admit(&model_key, max_wait, || has_room(node, &job)).await
         }
     };
     let wait = match reply {
@@ -75,24 +75,25 @@
         _ => None,
     };
     let admitted = admitted.ok_or_else(|| Refusal::Full { running: node.count_running(&model_key), wait })?;
-    let mut tries = Tries::choosing(reply);
-    let chosen = node.now();
-    let opened = open(node, &job, &mut tries).await;
-    if let (Ok(Opening::Stream(_)), [_], Some(promise)) = (&opened, &tries.tried[..], tries.promise) {
-        dispatch::record_first_event(node, &job, promise, node.now().since(chosen));
+    let mut tries = Tries::following(reply);
+    let assigned_at = node.now();
+    let opened = open_stream(node, &job, &mut tries).await;
+    if let (Ok(FirstAnswer::Stream(_)), [_], Some(assignment)) = (&opened, &tries.tried[..], tries.assignment)
+    {
+        dispatch::record_first_event(node, &job, assignment, node.now().since(assigned_at));
     }
-    note_opening(node, &job, &tries, &admitted, opened.as_ref().err());
-    let begun = match opened? {
-        Opening::Stream(begun) => begun,
-        Opening::Whole(answer) => return Ok(answer),
+    update_limit(node, &job, &tries, &admitted, opened.as_ref().err());
+    let started = match opened? {
+        FirstAnswer::Stream(started) => started,
+        FirstAnswer::Whole(answer) => return Ok(answer),
     };
-    let (feed, receiver) = mpsc::channel(FEED_DEPTH);
+    let (sender, receiver) = mpsc::channel(MAX_BUFFERED_CHUNKS);
     let mut answer = Response::new(Body::Stream(receiver));
-    *answer.status_mut() = begun.head.status;
-    *answer.headers_mut() = header::strip(&begun.head.headers);
+    *answer.status_mut() = started.head.status;
+    *answer.headers_mut() = header::strip(&started.head.headers);
     answer.headers_mut().remove(CONTENT_LENGTH);
-    if feed.try_send(Ok(begun.first)).is_ok() && !begun.ended {
-        let relay = Relay::new(node.clone(), job, tries, feed, begun.source, (running, admitted));
+    if sender.try_send(Ok(started.first)).is_ok() && !started.ended {
+        let relay = Relay::new(node.clone(), job, tries, sender, started.stream, (running, admitted));
         tokio::spawn(relay.run());
     }
     Ok(answer)
@@ -100,8 +101,8 @@
 
 /// Tells the limit how the first event came. A request that met a silent runner
 /// says nothing of how much the others have to do.
-fn note_opening(node: &Node, job: &Job, tries: &Tries, admitted: &LimitGuard, refusal: Option<&Refusal>) {
-    let first_try = tries.tried.len() == 1 && tries.sent == 0;
+fn update_limit(node: &Node, job: &Job, tries: &Tries, admitted: &LimitGuard, refusal: Option<&Refusal>) {
+    let first_try = tries.tried.len() == 1 && tries.possible_runs == 0;
     let waited = node.now().since(job.arrived);
     let in_time = waited <= job.route.target_latency;
     if refusal.is_none() && !in_time {
@@ -114,39 +115,41 @@
         );
     }
     match refusal {
-        None if first_try || tries.full > 0 => admitted.record_first_event(in_time && tries.full == 0),
+        None if first_try || tries.rejections > 0 => {
+            admitted.record_first_event(in_time && tries.rejections == 0)
+        }
         Some(Refusal::NotRun) => admitted.record_first_event(false),
         _ => {}
     }
 }
 
 /// Tries runners until one sends its first event.
-async fn open(node: &Arc<Node>, job: &Job, tries: &mut Tries) -> Result<Opening, Refusal> {
+async fn open_stream(node: &Arc<Node>, job: &Job, tries: &mut Tries) -> Result<FirstAnswer, Refusal> {
     loop {
-        let last = job.terms.last_event;
-        let attempt = next_attempt(node, job, tries, last).await?;
+        let last_event = job.terms.last_event;
+        let attempt = start_next_attempt(node, job, tries, last_event).await?;
         if !attempt.response.status().is_success() {
-            match plain::read_whole(node, attempt).await {
+            match plain::read_answer(node, attempt).await {
                 Ok(answer) => {
                     record_completed(node, &job.fingerprint);
-                    return Ok(Opening::Whole(answer));
+                    return Ok(FirstAnswer::Whole(answer));
                 }
-                Err(error) => tries.note(node, job, &error).await,
+                Err(error) => tries.record_failure(node, job, &error).await,
             }
             continue;
         }
-        let (head, mut source) = Source::open(attempt, last);
-        match read_first(node, job, &mut source).await {
-            Ok(Next::Events(first)) => {
-                let begun = Begun { head, first, source, ended: false };
-                return Ok(Opening::Stream(Box::new(begun)));
+        let (head, mut stream) = RunnerStream::open(attempt, last_event);
+        match read_first_events(node, job, &mut stream).await {
+            Ok(StreamItem::Events(first)) => {
+                let started = StartedStream { head, first, stream, ended: false };
+                return Ok(FirstAnswer::Stream(Box::new(started)));
             }
-            Ok(Next::End) => {
+            Ok(StreamItem::End) => {
                 record_completed(node, &job.fingerprint);
-                let begun = Begun { head, first: Bytes::new(), source, ended: true };
-                return Ok(Opening::Stream(Box::new(begun)));
+                let started = StartedStream { head, first: Bytes::new(), stream, ended: true };
+                return Ok(FirstAnswer::Stream(Box::new(started)));
             }
-            Err(error) => tries.note(node, job, &error).await,
+            Err(error) => tries.record_failure(node, job, &error).await,
         }
     }
 }
--- a/crates/node/src/suspects.rs
+++ b/crates/node/src/suspects.rs
@@ -16,7 +16,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::attempt::{Job, Pick};
-use crate::candidates::count_takers;
+use crate::candidates::count_capacity;
 use crate::figures;
 use crate::state::Node;
 
@@ -135,7 +135,8 @@
 
 /// A request as a row with one end, that of the runner of a try.
 pub(crate) fn write_row(node: &Node, job: &Job, pick: &Pick) -> Row {
-    let crash = node.suspects.lock().identify_crash(&pick.id, pick.life, pick.release.clone(), pick.at);
+    let crash =
+        node.suspects.lock().identify_crash(&pick.id, pick.incarnation, pick.release.clone(), pick.picked_at);
     Row {
         fingerprint: job.fingerprint,
         account: job.account.clone(),
@@ -164,7 +165,7 @@
 /// let begin counts from now.
 pub(crate) fn rule(node: &Node, job: &Job) -> Ruling {
     let level = node.suspects.lock().level(&job.fingerprint);
-    let (takers, now) = (count_takers(node, job), node.now());
+    let (takers, now) = (count_capacity(node, job), node.now());
     let mut trials = node.trials.lock();
     let ruling = trials.decide(&job.fingerprint, level, takers, now);
     if ruling == Ruling::Trial {
--- a/crates/node/src/throttle.rs
+++ b/crates/node/src/throttle.rs
@@ -18,8 +18,8 @@
 
 use crate::answer::Refusal;
 use crate::attempt::{Job, Pick};
-use crate::candidates::{has_free, list_throttled};
-use crate::dispatch::{ANSWER, avoid, find_asked};
+use crate::candidates::{has_unlimited, list_rate_limited};
+use crate::dispatch::{COLLECTOR_TIMEOUT, avoid_collector, find_available_collector};
 use crate::figures;
 use crate::peer;
 use crate::state::Node;
@@ -68,7 +68,7 @@
         }
     };
     let heard = node.now();
-    put(node, Claim { runner: pick.id.clone(), life: pick.life, rate, asked, heard }, "says");
+    put(node, Claim { runner: pick.id.clone(), life: pick.incarnation, rate, asked, heard }, "says");
     if rate.is_some() {
         figures::count_limited(&pick.hall);
     }
@@ -241,7 +241,7 @@
 /// Asks the collector for a place at a runner that names a rate; none if no such runner can take
 /// the request, or nobody answers.
 pub(crate) async fn ask(node: &Arc<Node>, job: &Job, tried: &[id::Runner]) -> Option<Place> {
-    let runners = list_throttled(node, job, tried);
+    let runners = list_rate_limited(node, job, tried);
     if runners.is_empty() {
         return None;
     }
@@ -250,17 +250,17 @@
         let asked = |claim: &&Claim| runners.iter().any(|(id, _)| *id == claim.runner);
         said.throttles.iter().filter(asked).map(|claim| claim.tell(now)).collect()
     };
-    let (refused, patience) = (!has_free(node, job, tried), job.remaining_time(node.now()));
+    let (refused, patience) = (!has_unlimited(node, job, tried), job.remaining_time(node.now()));
     let plea = Plea { service: job.service.clone(), refused, patience, claims };
-    let collector = find_asked(node)?;
+    let collector = find_available_collector(node)?;
     if collector.node == node.settings().node {
         return Some(give_place(node, &plea));
     }
-    match peer::ask_place(node, &collector, &plea, ANSWER).await {
+    match peer::ask_place(node, &collector, &plea, COLLECTOR_TIMEOUT).await {
         Ok(place) => Some(place),
         Err(error) => {
             log::info!("request {}: {} gives no place: {error}", job.id(), collector.node);
-            avoid(node, collector);
+            avoid_collector(node, collector);
             None
         }
     }
@@ -268,7 +268,7 @@
 
 /// The runner that names a rate and gets a request from this node without asking, if one does.
 pub(crate) fn take_alone(node: &Node, job: &Job, tried: &[id::Runner]) -> Option<id::Runner> {
-    let runners = list_throttled(node, job, tried);
+    let runners = list_rate_limited(node, job, tried);
     let (nodes, now) = (node.directory.lock().count(), node.now());
     let mut alone = node.alone.lock();
     let taken = runners.into_iter().find(|(id, rate)| alone.take(id, *rate, nodes, now, &mut rand::rng()));
--- a/crates/node/src/tries.rs
+++ b/crates/node/src/tries.rs
@@ -8,18 +8,18 @@
 
 use crate::answer::Refusal;
 use crate::attempt::{Attempt, AttemptError, Job, Pick, send};
-use crate::candidates::{find_pick, pick, refuse_unwilling};
+use crate::candidates::{pick_by_epoch, pick_locally, refuse_if_backing_off};
 use crate::crash;
 use crate::dispatch;
 use crate::figures;
 use crate::retries;
-use crate::source::wait_unless_silent;
+use crate::runner_stream::wait_unless_unresponsive;
 use crate::state::Node;
 use crate::suspects;
 use crate::throttle;
 
 /// Tries of one request, refused ones included.
-const TRIES: usize = 4;
+const MAX_TRIES: usize = 4;
 
 /// The tries of one request so far.
 #[derive(Default)]
@@ -27,48 +27,48 @@
     /// The runners, in the order in which they were tried.
     pub tried: Vec<id::Runner>,
     /// The last of them.
-    last: Option<Pick>,
+    last_pick: Option<Pick>,
     /// Runners at which it may have run.
-    pub sent: u32,
+    pub possible_runs: u32,
     /// Runners that had no place for it.
-    pub full: u32,
+    pub rejections: u32,
     /// Whether it has reached a runner: from then on sending it costs a retry.
-    arrived: bool,
+    reached_runner: bool,
     /// The group that was chosen for the next try.
-    chosen: Option<Promise>,
+    next_assignment: Option<Promise>,
     /// What the group was expected to do that has the present try, if it was chosen.
-    pub promise: Option<Promise>,
+    pub assignment: Option<Promise>,
 }
 
 impl Tries {
     /// No tries so far; the first one goes where the hall's collector said.
-    pub fn choosing(reply: Option<Reply>) -> Tries {
-        Tries { chosen: read_choice(reply), ..Tries::default() }
+    pub fn following(reply: Option<Reply>) -> Tries {
+        Tries { next_assignment: read_assignment(reply), ..Tries::default() }
     }
 
     /// What the caller is told if there is no other try.
-    fn refuse(&self, node: &Node, job: &Job) -> Refusal {
-        match (self.sent, self.tried.is_empty()) {
-            (0, true) => refuse_unwilling(node, job).unwrap_or(Refusal::NoRunner),
-            (0, false) => refuse_unwilling(node, job).unwrap_or(Refusal::NotRun),
+    fn final_refusal(&self, node: &Node, job: &Job) -> Refusal {
+        match (self.possible_runs, self.tried.is_empty()) {
+            (0, true) => refuse_if_backing_off(node, job).unwrap_or(Refusal::NoRunner),
+            (0, false) => refuse_if_backing_off(node, job).unwrap_or(Refusal::NotRun),
             _ => Refusal::MayHaveRun,
         }
     }
 
     /// Takes a try in that gave no answer.
-    pub async fn note(&mut self, node: &Arc<Node>, job: &Job, error: &AttemptError) {
-        self.sent += u32::from(error.may_have_run());
-        self.full += u32::from(matches!(error, AttemptError::Full(_)));
-        self.arrived |= error.has_arrived();
+    pub async fn record_failure(&mut self, node: &Arc<Node>, job: &Job, error: &AttemptError) {
+        self.possible_runs += u32::from(error.may_have_run());
+        self.rejections += u32::from(matches!(error, AttemptError::Rejected(_)));
+        self.reached_runner |= error.reached_runner();
         figures::count_failed_attempt(error.reason());
         let runner = self.tried.last().map_or("-", id::Runner::as_str);
-        let chooser = if self.promise.is_some() { "the collector" } else { "this node" };
+        let chooser = if self.assignment.is_some() { "the collector" } else { "this node" };
         log::info!(
             "request {}: try {} at {runner}, chosen by {chooser}: {error}",
             job.id(),
             self.tried.len()
         );
-        if let Some(pick) = &self.last {
+        if let Some(pick) = &self.last_pick {
             crash::investigate(node, job, pick, error).await;
         }
     }
@@ -89,24 +89,24 @@
     }
 }
 
-fn read_choice(reply: Option<Reply>) -> Option<Promise> {
+fn read_assignment(reply: Option<Reply>) -> Option<Promise> {
     match reply? {
-        Reply::Take(promise) => Some(promise),
+        Reply::Take(assignment) => Some(assignment),
         Reply::Full(_) | Reply::Throttled(_) | Reply::Unknown | Reply::Held | Reply::Deadly => None,
     }
 }
 
 /// Gets the head of an answer out of the next runner.
-pub async fn next_attempt(
+pub async fn start_next_attempt(
     node: &Arc<Node>,
     job: &Job,
     tries: &mut Tries,
-    last: Option<u64>,
+    last_event: Option<u64>,
 ) -> Result<Attempt, Refusal> {
     loop {
-        let refusal = tries.refuse(node, job);
-        let repeatable = tries.sent == 0 || job.route.is_repeatable();
-        if tries.tried.len() >= TRIES || tries.sent >= job.route.attempts || !repeatable {
+        let refusal = tries.final_refusal(node, job);
+        let repeatable = tries.possible_runs == 0 || job.route.is_repeatable();
+        if tries.tried.len() >= MAX_TRIES || tries.possible_runs >= job.route.attempts || !repeatable {
             return Err(refusal);
         }
         if job.is_expired(node) {
@@ -116,9 +116,9 @@
             return Err(Refusal::Deadly);
         }
         if !tries.tried.is_empty() {
-            let reply = dispatch::ask(node, job, Urgency::Again, &tries.tried).await;
+            let reply = dispatch::query_collector(node, job, Urgency::Again, &tries.tried).await;
             if let Some(Reply::Throttled(wait)) = reply {
-                return Err(if tries.sent == 0 {
+                return Err(if tries.possible_runs == 0 {
                     throttle::refuse(node, job, Millis(wait))
                 } else {
                     refusal
@@ -126,26 +126,29 @@
             }
             match refuse_suspect(node, job, reply) {
                 Some(Refusal::Quarantined) => {
-                    return Err(if tries.sent == 0 { Refusal::Quarantined } else { refusal });
+                    return Err(if tries.possible_runs == 0 { Refusal::Quarantined } else { refusal });
                 }
                 Some(deadly) => return Err(deadly),
-                None => tries.chosen = read_choice(reply),
+                None => tries.next_assignment = read_assignment(reply),
             }
         }
-        let promise = tries.chosen.take();
-        let chosen = promise.and_then(|promise| find_pick(node, job, promise.epoch, &tries.tried));
-        tries.promise = promise.filter(|_| chosen.is_some());
-        let Some(pick) = chosen.or_else(|| pick(node, job, &tries.tried)) else { return Err(refusal) };
-        if tries.arrived && !retries::spend(node, job).await {
+        let assignment = tries.next_assignment.take();
+        let chosen =
+            assignment.and_then(|assignment| pick_by_epoch(node, job, assignment.epoch, &tries.tried));
+        tries.assignment = assignment.filter(|_| chosen.is_some());
+        let Some(pick) = chosen.or_else(|| pick_locally(node, job, &tries.tried)) else {
+            return Err(refusal);
+        };
+        if tries.reached_runner && !retries::spend(node, job).await {
             return Err(refusal);
         }
         tries.tried.push(pick.id.clone());
-        tries.last = Some(pick.clone());
+        tries.last_pick = Some(pick.clone());
         let started = node.now();
-        let sending = send(node, job, &pick, last);
-        match wait_unless_silent(node, job, &pick, started, sending).await {
+        let sending = send(node, job, &pick, last_event);
+        match wait_unless_unresponsive(node, job, &pick, started, sending).await {
             Ok(attempt) => return Ok(attempt),
-            Err(error) => tries.note(node, job, &error).await,
+            Err(error) => tries.record_failure(node, job, &error).await,
         }
     }
 }
