--- a/crates/node/src/answer.rs
+++ b/crates/node/src/answer.rs
@@ -1,4 +1,4 @@
-//! Answers to callers: whole ones, streams, and refusals.
+//! Answers to callers: whole ones, streams and refusals.
 
 use std::pin::Pin;
 use std::task::{Context, Poll};
@@ -14,15 +14,15 @@
 use thiserror::Error;
 use tokio::sync::mpsc;
 
-/// An answer.
+/// An answer to a caller.
 pub type Answer = Response<Body>;
 
 /// The body of an answer.
 pub enum Body {
-    /// All of it, until it has been taken.
+    /// The whole body; none once it has been sent.
     Whole(Option<Bytes>),
-    /// Pieces as they come. An error closes the connection, so that a broken
-    /// answer does not look whole.
+    /// Chunks as they arrive. An error closes the connection, so that a broken answer does not look
+    /// complete.
     Stream(mpsc::Receiver<Result<Bytes, Cut>>),
 }
 
@@ -54,13 +54,13 @@
     }
 }
 
-/// Why a request was given up on.
+/// Why a request was refused or given up.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum Refusal {
     /// No route has this host and path.
     #[error("no route")]
     NoRoute,
-    /// The key is no account's.
+    /// The key belongs to no account.
     #[error("unknown key")]
     UnknownKey,
     /// The body is larger than allowed.
@@ -69,50 +69,52 @@
     /// The body broke off.
     #[error("the body broke off")]
     BrokenBody,
-    /// The node does not know enough to judge the request; it has not run.
+    /// The node's configuration is missing or too old to judge the request. The request has not
+    /// run.
     #[error("this node cannot judge requests at present")]
     StaleConfig,
-    /// No runner can take it at present; it has not run.
+    /// No runner can take the request now. It has not run.
     #[error("no runner can take it at present")]
     NoRunner,
-    /// As many requests as its runners can take in time are under way; it has not run.
+    /// Its runners have as many requests in flight as they can answer in time. It has not run.
     #[error("its runners have all they can take in time, {running} of them from here{}", format_wait(.wait))]
     Full {
-        /// Requests of its model under way at this node.
+        /// The requests of its model that are in flight at this node.
         running: u32,
-        /// How far away the earliest first event is, as far as the hall's collector knows.
+        /// The time until the earliest possible first event, as far as the hall's collector knows.
         wait: Option<Millis>,
     },
-    /// Runners have ended under it, and another run of it is undecided; it has not run.
+    /// Runners have crashed under the request, and the outcome of another run of it is not known
+    /// yet. It has not run.
     #[error("runners have ended under it, and it is not clear yet whether because of it")]
     Quarantined,
-    /// It ends the runners that run it. It will do so again: nobody is served by that.
+    /// The request crashes the runners that run it. It would do so again, so no retry can succeed.
     #[error("it ends the runners that run it and is not run any more; it is no use to send it again")]
     Deadly,
-    /// All runners that can take it have said that they want no requests from this node for a
-    /// while.
+    /// All runners that can take the request are backing off from this node.
     #[error("the runners want no requests for {wait}{}", format_remaining(*wait, *remaining))]
     Backoff {
-        /// Until the first one wants some again.
+        /// The time until the first backoff ends.
         wait: Millis,
-        /// How long its caller waits; none if that is not said.
+        /// How long the caller still waits; none if the caller did not say.
         remaining: Option<Millis>,
     },
-    /// All runners that can take it have had as many requests as they take from all nodes together.
+    /// All runners that can take the request are at the rate that they accept from all nodes
+    /// together.
     #[error("the runners have had as many requests as they take, the next place is {wait} away{}", format_remaining(*wait, *remaining))]
     Throttled {
-        /// Until there is a place.
+        /// The time until one of them accepts a request.
         wait: Millis,
-        /// How long its caller waits; none if that is not said.
+        /// How long the caller still waits; none if the caller did not say.
         remaining: Option<Millis>,
     },
-    /// Runners were asked, and all said that they did not run it.
+    /// Runners were tried, and all said that they did not run the request.
     #[error("the runners asked did not run it")]
     NotRun,
-    /// It may have run, and gave no answer that can be passed on.
+    /// The request may have run, and there is no answer that can be forwarded.
     #[error("it may have run, and there is no answer")]
     MayHaveRun,
-    /// The time it had is over.
+    /// The deadline has passed.
     #[error("the time it had is over")]
     DeadlineExceeded,
 }
@@ -128,17 +130,16 @@
     }
 }
 
-/// When a caller should come back where no runner can take its request. Lost
-/// groups are formed anew within two or three seconds; callers come back after
-/// a third of the time they have left at the latest.
+/// The delay after which a caller should retry where no runner can take its request. Lost groups
+/// are formed again within two or three seconds. Callers retry after a third of their remaining
+/// time at the latest.
 const RETRY_DELAY: Millis = Millis(600);
 
-/// When a caller should come back to runners that have all they can take, at the
-/// soonest: a shortage lasts for as long as a group takes to be formed anew, two to four
-/// seconds.
+/// The shortest delay after which a caller should retry at runners that are full. A shortage lasts
+/// as long as forming a group again takes, two to four seconds.
 const FULL_RETRY_DELAY: Millis = Millis(1500);
 
-/// Callers that are refused together come back spread over this time.
+/// The jitter that spreads the retries of callers refused at the same time.
 const RETRY_JITTER: Millis = Millis(1000);
 
 impl Refusal {
@@ -147,7 +148,7 @@
             Refusal::NoRoute => StatusCode::NOT_FOUND,
             Refusal::UnknownKey => StatusCode::UNAUTHORIZED,
             Refusal::TooLarge => StatusCode::PAYLOAD_TOO_LARGE,
-            // The status after which callers do not come again.
+            // Callers do not retry after this status.
             Refusal::BrokenBody | Refusal::Deadly => StatusCode::BAD_REQUEST,
             Refusal::StaleConfig
             | Refusal::NoRunner
@@ -161,7 +162,7 @@
         }
     }
 
-    /// The reason as the figures name it.
+    /// Returns the reason as a metric label.
     pub fn reason(&self) -> &'static str {
         match self {
             Refusal::NoRoute => "no_route",
@@ -181,7 +182,7 @@
         }
     }
 
-    /// Whether coming back later helps.
+    /// Whether a later retry may succeed.
     fn is_retryable(&self) -> bool {
         match self {
             Refusal::StaleConfig
@@ -189,7 +190,7 @@
             | Refusal::Quarantined
             | Refusal::NotRun
             | Refusal::Full { .. } => true,
-            // A caller whose time ends first would be refused again.
+            // A caller whose time ends before the wait would be refused again.
             Refusal::Backoff { wait, remaining } | Refusal::Throttled { wait, remaining } => {
                 remaining.is_none_or(|remaining| *wait < remaining)
             }
@@ -197,18 +198,18 @@
         }
     }
 
-    /// When the caller should come back.
+    /// Returns the delay after which the caller should retry.
     fn pick_retry_delay(&self) -> Millis {
         match self {
             Refusal::Full { .. } => FULL_RETRY_DELAY + Millis(rand::rng().random_range(0..RETRY_JITTER.0)),
-            // The collector has spread those already.
+            // The collector has already spread these retries.
             Refusal::Throttled { wait, .. } => *wait,
             Refusal::Backoff { wait, .. } => *wait + Millis(rand::rng().random_range(0..RETRY_JITTER.0)),
             _ => RETRY_DELAY,
         }
     }
 
-    /// The answer that tells the caller.
+    /// Returns the answer that reports the refusal.
     pub fn answer(&self, request: Option<&str>) -> Answer {
         let mut answer = Response::new(Body::Whole(Some(Bytes::from(format!("{self}\n")))));
         *answer.status_mut() = self.status();
--- a/crates/node/src/attempt.rs
+++ b/crates/node/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One try of a request at one runner.
+//! One attempt of a request at one runner.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -24,33 +24,33 @@
 
 /// A request that was admitted.
 pub struct Job {
-    /// Its head, as the caller sent it.
+    /// The head, as the caller sent it.
     pub head: Parts,
-    /// Its body.
+    /// The body.
     pub body: Bytes,
-    /// What its headers say.
+    /// The terms that the caller's headers set, such as the deadline.
     pub terms: Terms,
-    /// Its route.
+    /// The route.
     pub route: Arc<Route>,
-    /// The configuration it was admitted under.
+    /// The configuration that the request was admitted under.
     pub catalog: Arc<Catalog>,
-    /// The service it goes to.
+    /// The service that the request goes to.
     pub service: id::Service,
-    /// The account it belongs to.
+    /// The account that the request belongs to.
     pub account: Option<id::Account>,
-    /// Its urgency, 0 first.
+    /// The priority; 0 is the most urgent.
     pub priority: u8,
-    /// What it has in common with the same request sent again.
+    /// Equal for a request and a repetition of it.
     pub fingerprint: Fingerprint,
-    /// When it came.
+    /// When the request arrived.
     pub arrived: Millis,
-    /// When it has to be answered.
+    /// When the request has to be answered.
     pub deadline: Millis,
 }
 
 impl Job {
-    /// What the request shares a limit with. Only models that operators named
-    /// have one of their own: callers may name any.
+    /// Returns the key of the concurrency limit that the request counts against. Only configured
+    /// models have a limit of their own, because callers may name any model.
     pub fn model_key(&self) -> ModelKey {
         let is_configured = |model: &&id::Model| {
             self.engine().is_some_and(|engine| engine.models.iter().any(|known| known.name == **model))
@@ -58,51 +58,51 @@
         (self.service.clone(), self.terms.model.as_ref().filter(is_configured).cloned())
     }
 
-    /// The engine of its service, where that forms groups.
+    /// Returns the engine of the service, if the service forms groups.
     pub(crate) fn engine(&self) -> Option<&Engine> {
         self.catalog.find_service(&self.service).and_then(|service| service.engine.as_ref())
     }
 
-    /// Whether the time it had is over: nobody waits for an answer, and no runner may be
-    /// given a time that is not there.
+    /// Whether the deadline has passed. The caller has stopped waiting then, and no runner may be
+    /// sent a time that does not exist.
     pub fn is_expired(&self, node: &Node) -> bool {
         node.now() >= self.deadline
     }
 
-    /// For how long its caller waits from now on; none if that is not said.
+    /// Returns how long the caller still waits; none if the caller did not say.
     pub fn remaining_time(&self, now: Millis) -> Option<Millis> {
         self.terms.wait.map(|wait| (self.arrived + wait).since(now))
     }
 
-    /// The caller's id of the request, for the log.
+    /// Returns the caller's id of the request, for the log.
     pub fn id(&self) -> &str {
         self.terms.request.as_deref().unwrap_or("-")
     }
 }
 
-/// Why a try gave no answer.
+/// Why an attempt gave no answer.
 #[derive(Debug, Error)]
 pub enum AttemptError {
-    /// No connection was made: nothing reached the runner.
+    /// No connection was made, or nothing was sent on it: the request did not reach the runner.
     #[error("not run: {0}")]
     Unreached(String),
-    /// The runner surely did not run it.
+    /// The runner said that it did not run the request.
     #[error("not run: {0}")]
     NotRun(String),
-    /// The runner had no place for it, and did not run it. It may have said for how long it
-    /// wants nothing from this node.
+    /// The runner rejected the request for lack of a free slot, and did not run it. It may have
+    /// named a backoff, which is for how long this node sends it nothing.
     #[error("not run: no place{}", format_backoff(.0))]
     Rejected(Option<Millis>),
-    /// It may have run there.
+    /// The request may have run.
     #[error("may have run: {0}")]
     MayHaveRun(String),
-    /// The same, and the connection broke: the runner may have ended.
+    /// The request may have run, and the connection broke: the runner may have crashed.
     #[error("may have run: {0}")]
     Broken(String),
-    /// The same, and nothing was heard of the runner for long.
+    /// The request may have run, and the runner sent nothing for too long.
     #[error("may have run: {0}")]
     Silent(String),
-    /// It was found to end runners while it was under way.
+    /// The request was found to crash runners while it was in flight.
     #[error("may have run: it is found to end the runners that run it")]
     Stopped,
 }
@@ -119,13 +119,13 @@
         }
     }
 
-    /// Whether the request reached the runner: only then does sending it again count
-    /// as a retry, which has to be paid for.
+    /// Whether the request reached the runner. Only then does sending it again count as a retry and
+    /// use the retry budget.
     pub fn reached_runner(&self) -> bool {
         !matches!(self, AttemptError::Unreached(_))
     }
 
-    /// The reason as the figures name it.
+    /// Returns the reason as a metric label.
     pub fn reason(&self) -> &'static str {
         match self {
             AttemptError::Unreached(_) => "unreached",
@@ -142,7 +142,7 @@
     backoff.map_or(String::new(), |backoff| format!(", it wants no request for {backoff}"))
 }
 
-/// A try that got the head of an answer.
+/// An attempt that received the head of an answer.
 pub struct Attempt {
     /// The runner.
     pub pick: Pick,
@@ -150,32 +150,32 @@
     pub response: Response<Incoming>,
     /// Keeps the connection open.
     pub channel: Channel,
-    /// Keeps the runner's count.
+    /// Counts the attempt as in flight at the runner.
     pub guard: AttemptGuard,
 }
 
-/// A runner to try.
+/// A runner that was picked for an attempt.
 #[derive(Clone, Debug)]
 pub struct Pick {
-    /// Its id.
+    /// The runner's id.
     pub id: id::Runner,
-    /// Where it listens.
+    /// The address that it listens at.
     pub address: SocketAddr,
-    /// In which incarnation it was picked, where that is told.
+    /// The runner's incarnation when it was picked, if known.
     pub incarnation: Option<Incarnation>,
-    /// The release of its software, where that is told.
+    /// The release of the runner's software, if known.
     pub release: Option<Release>,
     /// When it was picked.
     pub picked_at: Millis,
-    /// The data hall it stands in.
+    /// The data hall that it is in.
     pub hall: id::Hall,
-    /// The group it heads, if the request goes to one.
+    /// The group it is the head of, if the request goes to a group.
     pub group: Option<(id::Group, Epoch)>,
 }
 
 impl Pick {
-    /// Waits until the group is given up without finishing what it has; forever
-    /// if that does not happen.
+    /// Waits until the group is retired with its requests unfinished. Waits forever if that does
+    /// not happen.
     pub async fn wait_lost(&self, node: &Node) {
         let Some((name, epoch)) = &self.group else { return std::future::pending().await };
         let mut changes = node.plans_changed.subscribe();
@@ -190,8 +190,8 @@
     }
 }
 
-/// Sends the request to a runner and waits for the head of the answer.
-/// `last_event` is where a stream goes on.
+/// Sends the request to a runner and waits for the head of the answer. `last_event` is the event
+/// after which a stream is resumed.
 pub async fn send(
     node: &Arc<Node>,
     job: &Job,
@@ -209,7 +209,8 @@
         AttemptError::Unreached(error.to_string())
     })?;
     node.ledger.lock().note_reached(&pick.hall);
-    // Of many requests under way when it says so, those that have not reached it stay here.
+    // The runner may have announced a backoff while this connection was made: of many requests in
+    // flight at that time, those that have not reached the runner are not sent.
     if backoff::is_backing_off(node, &pick.id, pick.incarnation) {
         return Err(AttemptError::Unreached("it wants no requests at present".to_owned()));
     }
--- a/crates/node/src/backoff.rs
+++ b/crates/node/src/backoff.rs
@@ -1,4 +1,4 @@
-//! Taking in for how long runners want no requests from this node.
+//! Records for how long runners want no requests from this node.
 
 use cottoncrank::{Millis, id};
 use cottoncrank_fleet::runner::Incarnation;
@@ -7,11 +7,11 @@
 
 use crate::state::Node;
 
-/// A runner that names a time which cannot be read wants nothing for this long: it has said
-/// that it wants nothing, and callers of a full fleet come back after a second and more.
+/// The backoff of a runner that names an invalid time. It has still asked for no requests, and
+/// callers of a full fleet retry after a second or more.
 const DEFAULT_BACKOFF: Millis = Millis(1000);
 
-/// Reads for how long a runner that turned a request away wants no other one, and keeps it.
+/// Records the backoff that a runner announced with an answer, and returns it.
 pub(crate) fn record(
     node: &Node,
     id: &id::Runner,
@@ -20,7 +20,7 @@
     headers: &HeaderMap,
 ) -> Option<Millis> {
     let span = header::read_backoff(status, headers).unwrap_or_else(|error| {
-        log::warn!("backoff: {id}: {error}; taken for {DEFAULT_BACKOFF}");
+        log::warn!("backoff: {id}: {error}; using {DEFAULT_BACKOFF}");
         Some(DEFAULT_BACKOFF)
     })?;
     if node.said.lock().backoffs.put(id, incarnation, span, node.now()) {
@@ -29,7 +29,7 @@
     Some(span)
 }
 
-/// Whether a runner wants no requests from this node at present.
+/// Whether a runner is backing off from this node now.
 pub(crate) fn is_backing_off(node: &Node, id: &id::Runner, incarnation: Option<Incarnation>) -> bool {
     node.said.lock().backoffs.find(id, incarnation, node.now()).is_some()
 }
--- a/crates/node/src/candidates.rs
+++ b/crates/node/src/candidates.rs
@@ -1,4 +1,4 @@
-//! The runners that a request may be sent to, and which of them is next.
+//! Lists the runners that a request may be sent to, and picks one.
 
 use cottoncrank::{Millis, id};
 use cottoncrank_fleet::balance;
@@ -13,7 +13,7 @@
 use crate::state::Node;
 use crate::throttle;
 
-/// The runners that a request may be sent to.
+/// Returns the runners that serve the request's service and model.
 fn list_candidates<'a>(node: &Node, roster: &'a Roster, job: &Job) -> Vec<&'a Runner> {
     match (job.engine(), &job.terms.model) {
         (Some(_), Some(model)) => roster.list_heads(&job.service, model, &node.plans.lock()),
@@ -21,9 +21,9 @@
     }
 }
 
-/// Those of them that this node may send a request to, as they say themselves. One that turns
-/// requests away runs nothing and so looks idle: unless it is left out here, it is sent more than
-/// all others.
+/// Returns the candidates whose last feedback to this node makes them eligible. A runner that
+/// rejects requests runs nothing and so looks idle: if it were not left out here, it would get more
+/// requests than all others.
 fn list_by_admission<'a>(
     node: &Node,
     roster: &'a Roster,
@@ -36,26 +36,26 @@
     candidates
 }
 
-/// Those that want requests from this node.
+/// Returns the candidates that are not backing off.
 fn list_accepting<'a>(node: &Node, roster: &'a Roster, job: &Job) -> Vec<&'a Runner> {
     list_by_admission(node, roster, job, |admission| !matches!(admission, Admission::Closed(_)))
 }
 
-/// Those that take as many requests as there are. The others have named a rate for all nodes
-/// together, of which a node by itself sees too little to keep it: a request goes there only
-/// where the hall has a place for it.
+/// Returns the candidates without a rate limit. The others announced a rate for all nodes together,
+/// and a single node sees too little of the traffic to keep it: a request goes there only with a
+/// permit of the hall.
 fn list_unlimited<'a>(node: &Node, roster: &'a Roster, job: &Job) -> Vec<&'a Runner> {
     list_by_admission(node, roster, job, |admission| admission == Admission::Open)
 }
 
-/// Whether a runner that was not tried takes as many requests as there are.
+/// Whether a runner without a rate limit remains that was not tried.
 pub fn has_unlimited(node: &Node, job: &Job, tried: &[id::Runner]) -> bool {
     let roster = node.roster.lock();
     list_unlimited(node, &roster, job).iter().any(|runner| !tried.contains(&runner.id))
 }
 
-/// The runners that a request may be sent to where the hall has a place for it, with the rates
-/// that they take.
+/// Returns the rate-limited runners, with their rates, that a request may be sent to with a permit
+/// of the hall.
 pub fn list_rate_limited(node: &Node, job: &Job, tried: &[id::Runner]) -> Vec<(id::Runner, Rate)> {
     let (roster, now) = (node.roster.lock(), node.now());
     let candidates = list_accepting(node, &roster, job);
@@ -69,8 +69,7 @@
     rated.collect()
 }
 
-/// The runner at which the hall has a place for a request, if nothing that this node has seen
-/// speaks against it.
+/// Returns the runner that the hall has a permit for, if it is not backing off from this node.
 pub fn pick_by_id(node: &Node, job: &Job, runner: &id::Runner) -> Option<Pick> {
     let roster = node.roster.lock();
     let candidates = list_accepting(node, &roster, job);
@@ -78,8 +77,8 @@
     Some(build_pick(node, job, found))
 }
 
-/// The refusal of a request where all runners that can take it want none: there is nothing to
-/// wait or to try for.
+/// Returns the refusal of a request whose candidates are all backing off. Neither waiting nor
+/// another try would help.
 pub fn refuse_if_backing_off(node: &Node, job: &Job) -> Option<Refusal> {
     let now = node.now();
     if node.said.lock().backoffs.is_empty(now) {
@@ -96,7 +95,7 @@
     Some(Refusal::Backoff { wait: first.since(now), remaining: job.remaining_time(now) })
 }
 
-/// How many groups or runners can take a request, as far as this node has seen.
+/// Counts the groups or runners that can take a request, as far as this node knows.
 pub fn count_capacity(node: &Node, job: &Job) -> Capacity {
     let now = node.now();
     let sound = {
@@ -109,7 +108,7 @@
     node.usual.lock().record(&service, model.as_ref(), sound, now)
 }
 
-/// Whether the runners of a request have room for it; none if nobody knows.
+/// Whether the request's runners have room for it; none if that is unknown.
 pub fn has_room(node: &Node, job: &Job) -> Option<bool> {
     let roster = node.roster.lock();
     let candidates = list_unlimited(node, &roster, job);
@@ -117,8 +116,8 @@
     balance::has_room(&candidates, &ledger, &view, node.now())
 }
 
-/// The head of the group that was chosen, if it is known here and nothing that this node
-/// has seen speaks against it.
+/// Returns the head of the group that the collector chose, if this node knows it, has not tried it
+/// and has seen no fault of it.
 pub fn pick_by_epoch(node: &Node, job: &Job, epoch: Epoch, tried: &[id::Runner]) -> Option<Pick> {
     let roster = node.roster.lock();
     let candidates = list_accepting(node, &roster, job);
@@ -145,8 +144,8 @@
     }
 }
 
-/// Picks the runner for the next try by itself: one that takes as many requests as there are, or
-/// else one that this node may send one to without asking.
+/// Picks the runner for the next try without the collector: one without a rate limit, or else a
+/// rate-limited one that this node may use without a permit.
 pub fn pick_locally(node: &Node, job: &Job, tried: &[id::Runner]) -> Option<Pick> {
     let unlimited = {
         let roster = node.roster.lock();
--- a/crates/node/src/channel.rs
+++ b/crates/node/src/channel.rs
@@ -1,8 +1,8 @@
 //! A connection to a runner, for one request.
 //!
-//! Each request has a connection of its own. On one that is kept, a runner may
-//! send a second answer or close without a word, and a request that must not run
-//! twice could not be told apart from one that ran.
+//! Each request has a connection of its own. On a reused connection, a runner may send a second
+//! answer or close without an answer, and then a request that must not run twice cannot be told
+//! apart from one that ran.
 
 use std::net::SocketAddr;
 
@@ -17,9 +17,9 @@
 use tokio::net::TcpStream;
 use tokio::task::JoinHandle;
 
-/// How long a connection may take to be made: more than ten round trips between
-/// halls with what a runner adds, and so little that another runner can still send
-/// its first event in the 0.3 s in which most are wanted.
+/// The longest time to make a connection. It is more than ten round trips between halls plus the
+/// runner's own delay, and short enough that another runner can still send its first event within
+/// 0.3 s, the target of most requests.
 const CONNECT_TIMEOUT: Millis = Millis(80);
 
 /// Why a runner gave no answer.
@@ -28,19 +28,19 @@
     /// No connection was made: nothing was sent.
     #[error("no connection: {0}")]
     Connect(std::io::Error),
-    /// The connection broke; the request may have run.
+    /// The connection broke: the request may have run.
     #[error("the connection broke: {0}")]
     Broken(#[from] hyper::Error),
 }
 
 impl ChannelError {
-    /// Whether nothing came back from the runner's box in time.
+    /// Whether the runner's box did not answer in time.
     pub fn is_timeout(&self) -> bool {
         matches!(self, ChannelError::Connect(error) if error.kind() == std::io::ErrorKind::TimedOut)
     }
 }
 
-/// A connection. Dropping it closes it, and the runner drops the request.
+/// A connection. Dropping it closes it, and the runner then drops the request.
 pub struct Channel {
     sender: SendRequest<Full<Bytes>>,
     driver: JoinHandle<()>,
@@ -55,7 +55,7 @@
         stream.set_nodelay(true).map_err(ChannelError::Connect)?;
         let (sender, connection) = http1::Builder::new().handshake(TokioIo::new(stream)).await?;
         let driver = tokio::spawn(async move {
-            // A failure shows at the sender or the body, and is handled there.
+            // The sender or the body reports a failure, and it is handled there.
             if let Err(error) = connection.await {
                 log::debug!("channel: {address}: {error}");
             }
--- a/crates/node/src/dispatch.rs
+++ b/crates/node/src/dispatch.rs
@@ -1,4 +1,5 @@
-//! Asking the collector of the hall which group takes a request, and answering as one.
+//! Asks the hall's collector which group takes a request, and answers such queries as the
+//! collector.
 
 use std::sync::Arc;
 
@@ -17,17 +18,18 @@
 use crate::state::Node;
 use crate::throttle;
 
-/// How long the collector may take to answer: it answers within a few milliseconds, and
-/// without it the node chooses by itself.
+/// How long a node waits for the collector, which answers within a few milliseconds. After that the
+/// node picks a runner itself.
 pub(crate) const COLLECTOR_TIMEOUT: Millis = Millis(40);
 
-/// A collector that did not answer is not asked for this long.
+/// How long a collector that did not answer is not asked again.
 const COLLECTOR_AVOID_TIME: Millis = Millis(1000);
 
-/// First events kept until the next query, for the node may have nobody to ask.
+/// The most samples kept until the next query: there may be no collector to send them to.
 const MAX_SAMPLES: usize = 32;
 
-/// Notes how long the first event of a request delay that went where it was told to.
+/// Records the delay of the first event of a request that followed its assignment, compared with
+/// the expected delay.
 pub fn record_first_event(node: &Node, job: &Job, assignment: Promise, delay: Millis) {
     let (service, Some(model)) = job.model_key() else { return };
     let later = delay.0 as i64 - assignment.expected as i64;
@@ -37,8 +39,8 @@
     }
 }
 
-/// Asks which group takes a request that is not to go to those in `tried`. None where
-/// there is nobody to ask, or the request is for no model that operators named.
+/// Asks which group takes a request, leaving out the groups of the runners in `tried`. Returns none
+/// if there is no collector, it does not answer, or the request's model is not configured.
 pub async fn query_collector(
     node: &Arc<Node>,
     job: &Job,
@@ -66,14 +68,14 @@
     match peer::ask_group(node, &collector, &query, COLLECTOR_TIMEOUT).await {
         Ok(reply) => Some(reply),
         Err(error) => {
-            log::info!("request {}: {} does not choose a group: {error}", job.id(), collector.node);
+            log::info!("request {}: collector {} did not choose a group: {error}", job.id(), collector.node);
             avoid_collector(node, collector);
             None
         }
     }
 }
 
-/// The collector that this node asks.
+/// Returns the collector that this node asks.
 pub(crate) fn find_available_collector(node: &Node) -> Option<Peer> {
     let hall = &node.settings().hall;
     let mut avoided = node.unanswering.lock();
@@ -81,7 +83,7 @@
     find_collector(node, hall, &avoided)
 }
 
-/// A collector did not answer a query and is not asked for a while.
+/// Stops asking a collector for a while, because it did not answer a query.
 pub(crate) fn avoid_collector(node: &Node, collector: Peer) {
     node.unanswering.lock().add(collector.node, node.now() + COLLECTOR_AVOID_TIME);
 }
@@ -92,7 +94,7 @@
     runners.iter().filter_map(find_epoch).collect()
 }
 
-/// As the collector, takes in what the asking node has in flight and chooses a group.
+/// As the collector, records the in-flight report of the asking node and chooses a group.
 pub fn answer_query(node: &Node, query: Question) -> Reply {
     collect::note(node, query.report.clone());
     let reply = choose_group(node, &query);
@@ -102,8 +104,8 @@
     reply
 }
 
-/// The halls whose nodes do not tell this one what they have in flight; none if too many
-/// nodes of this hall do not either.
+/// Returns the halls from which this node receives no in-flight reports; none if too few nodes of
+/// its own hall report.
 fn list_silent_halls(node: &Node, hall: &id::Hall, now: Millis) -> Option<Vec<id::Hall>> {
     let directory = node.directory.lock();
     let reports = node.reports.lock();
@@ -169,7 +171,7 @@
     reply
 }
 
-/// What becomes of a request that a node asks for, as far as this hall knows.
+/// Decides whether a request may run, by what this hall knows of the crashes under it.
 fn decide_ruling(node: &Node, query: &Question, groups: usize, now: Millis) -> Ruling {
     let capacity = node.usual.lock().record(&query.service, Some(&query.model), groups, now);
     let level = node.suspects.lock().level(&query.fingerprint);
--- a/crates/node/src/front.rs
+++ b/crates/node/src/front.rs
@@ -1,4 +1,4 @@
-//! The ports of a node: one for callers, one for the balancer.
+//! The ports for callers and for the balancer.
 
 use std::convert::Infallible;
 use std::io;
@@ -19,18 +19,16 @@
 use crate::request;
 use crate::state::Node;
 
-/// How long a connection may rest while no configuration says so.
+/// How long a connection may be idle before a configuration is known.
 const DEFAULT_IDLE_TIMEOUT: Millis = Millis(15_000);
 
-/// What a connection may hold unread, in bytes, at the least: a head and a piece
-/// of a body.
+/// The smallest read buffer of a connection, in bytes: room for a head and a part of a body.
 const MIN_BUFFER_BYTES: usize = 32 * 1024;
 
-/// The pause after a connection could not be taken, such as for want of file
-/// descriptors.
+/// The pause after a connection could not be accepted, for example for lack of file descriptors.
 const ACCEPT_PAUSE: Millis = Millis(20);
 
-/// Takes callers until the node is closed.
+/// Accepts callers until the node is closed.
 pub async fn serve_callers(node: Arc<Node>, listener: TcpListener) {
     let mut closed = node.closed.subscribe();
     loop {
@@ -47,9 +45,9 @@
     }
 }
 
-/// Waits a little after a connection could not be taken.
+/// Logs that a connection could not be accepted, and pauses.
 pub async fn pause_accepting(error: &io::Error) {
-    log::warn!("front: a connection could not be taken: {error}");
+    log::warn!("front: could not accept a connection: {error}");
     tokio::time::sleep(ACCEPT_PAUSE.duration()).await;
 }
 
@@ -85,20 +83,20 @@
         }
     };
     if let Err(error) = outcome {
-        log::debug!("front: a connection ended with {error}");
+        log::debug!("front: connection error: {error}");
     }
 }
 
 async fn wait_closed(closed: &mut watch::Receiver<bool>) {
-    // The sender lives as long as the node.
+    // The sender exists as long as the node, so this cannot fail.
     let _ = closed.wait_for(|closed| *closed).await;
 }
 
-/// How long a node that is about to stop goes on taking requests: the balancer
-/// asks once a second and passes a node over after two misses.
+/// How long a node that is about to stop still accepts requests. The balancer checks once a second,
+/// and skips a node after two failed checks.
 pub const DRAIN_NOTICE: Millis = Millis(2500);
 
-/// Answers the balancer until the process ends.
+/// Answers the balancer's health checks until the process ends.
 pub async fn serve_readiness(node: Arc<Node>, listener: TcpListener) {
     loop {
         match listener.accept().await {
--- a/crates/node/src/in_flight.rs
+++ b/crates/node/src/in_flight.rs
@@ -1,4 +1,4 @@
-//! Requests under way: what counts them, and the limit that admits them.
+//! Counts the requests in flight, and admits them within the concurrency limits.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -8,30 +8,30 @@
 
 use crate::state::Node;
 
-/// What shares a limit: the requests for one model of one service.
+/// The key of a concurrency limit: a service and, if it is configured, a model.
 pub type ModelKey = (id::Service, Option<id::Model>);
 
 impl Node {
-    /// Requests under way.
+    /// Returns the number of requests in flight.
     pub fn running(&self) -> usize {
         self.running.load(Ordering::Relaxed)
     }
 
-    /// Counts a request until the guard is dropped.
+    /// Counts a request as in flight until the guard is dropped.
     pub fn begin_request(self: &Arc<Self>) -> RequestGuard {
         self.running.fetch_add(1, Ordering::Relaxed);
         self.serving.store(true, Ordering::Relaxed);
         RequestGuard(self.clone())
     }
 
-    /// How many requests of a model_key are under way here.
+    /// Returns the number of requests in flight here that count against a limit.
     pub fn count_running(&self, model_key: &ModelKey) -> u32 {
         self.limits.lock().get(model_key).map_or(0, Limit::running)
     }
 
-    /// Counts a request against the limit of its model_key, if there is room within `wait`.
-    /// It is admitted above the limit too where `has_room` knows that runners have
-    /// room: a node with few requests sees little of how busy they are.
+    /// Counts a request against its limit, if the limit has room within `wait`. A request is also
+    /// admitted above the limit if `has_room` finds that the runners have room, because a node with
+    /// few requests sees little of their load.
     pub async fn admit(
         self: &Arc<Self>,
         model_key: &ModelKey,
@@ -53,25 +53,26 @@
             if remaining == Millis(0) {
                 return None;
             }
-            // Either way the limit is looked at again.
+            // On a timeout and on a notification alike, the limit is checked again.
             let _ = tokio::time::timeout(remaining.duration(), self.ended.notified()).await;
         }
     }
 
-    /// Counts a request for which a group was chosen.
+    /// Counts a request that has an assignment against its limit, whether or not the limit has
+    /// room.
     pub fn admit_assigned(self: &Arc<Self>, model_key: &ModelKey) -> LimitGuard {
         self.limits.lock().entry(model_key.clone()).or_default().begin();
         LimitGuard { node: self.clone(), model_key: model_key.clone() }
     }
 
-    /// Counts a request at a runner until the guard is dropped.
+    /// Counts a request as in flight at a runner until the guard is dropped.
     pub fn begin_attempt(self: &Arc<Self>, runner: &id::Runner) -> AttemptGuard {
         self.ledger.lock().begin(runner);
         AttemptGuard { node: self.clone(), runner: runner.clone(), streaming: false }
     }
 }
 
-/// A request under way.
+/// Counts a request as in flight until it is dropped.
 pub struct RequestGuard(Arc<Node>);
 
 impl Drop for RequestGuard {
@@ -80,19 +81,19 @@
     }
 }
 
-/// A request that counts against its limit.
+/// Counts a request against its concurrency limit until it is dropped.
 pub struct LimitGuard {
     node: Arc<Node>,
     model_key: ModelKey,
 }
 
 impl LimitGuard {
-    /// The limit at present.
+    /// Returns the current limit.
     pub fn level(&self) -> f64 {
         self.node.limits.lock().get(&self.model_key).map_or(0.0, Limit::level)
     }
 
-    /// The first event came: in time, or not.
+    /// Adjusts the limit by whether a first event was in time.
     pub fn record_first_event(&self, in_time: bool) {
         let mut limits = self.node.limits.lock();
         let limit = limits.entry(self.model_key.clone()).or_default();
@@ -112,16 +113,16 @@
     }
 }
 
-/// A request under way at a runner.
+/// Counts a request as in flight at a runner until it is dropped.
 pub struct AttemptGuard {
     node: Arc<Node>,
     runner: id::Runner,
-    /// Whether its stream has begun.
+    /// Whether the first event of its stream has arrived.
     streaming: bool,
 }
 
 impl AttemptGuard {
-    /// Its first event has come.
+    /// Records that the first event has arrived.
     pub fn begin_stream(&mut self) {
         if !self.streaming {
             self.streaming = true;
--- a/crates/node/src/plain.rs
+++ b/crates/node/src/plain.rs
@@ -1,4 +1,4 @@
-//! Requests whose answer is passed on whole.
+//! Runs requests whose answer is forwarded as a whole.
 
 use std::sync::Arc;
 
@@ -19,14 +19,14 @@
 use crate::suspects;
 use crate::throttle::{self, Place};
 
-/// The largest answer that is held until it is whole, in bytes.
+/// The largest answer that is buffered, in bytes.
 const MAX_ANSWER_BYTES: usize = 4 << 20;
 
-/// Tries of one request, refused ones included. Runners that refuse answer at
-/// once; more would only find the others refusing as well.
+/// The most tries of one request, rejected ones included. Runners that reject answer at once, and
+/// further tries would only find the others rejecting as well.
 const MAX_TRIES: usize = 3;
 
-/// Runs a request and answers with the whole of the runner's answer.
+/// Runs a request and returns the runner's whole answer.
 pub async fn run(node: &Arc<Node>, job: &Job) -> Result<Answer, Refusal> {
     let mut tried = Vec::new();
     let mut possible_runs = 0;
@@ -99,7 +99,7 @@
     read_answer(node, attempt).await
 }
 
-/// Reads an answer to its end. A length that it names must be met.
+/// Reads an answer to its end. Fails if the body is shorter than its announced length.
 pub async fn read_answer(node: &Node, attempt: Attempt) -> Result<Answer, AttemptError> {
     let (head, body) = attempt.response.into_parts();
     let collected = Limited::new(body, MAX_ANSWER_BYTES).collect().await;
--- a/crates/node/src/relay.rs
+++ b/crates/node/src/relay.rs
@@ -1,4 +1,4 @@
-//! Passing the rest of a stream on, from one runner after the other.
+//! Forwards the rest of a stream to the caller, resuming it at other runners.
 
 use std::sync::Arc;
 
@@ -16,21 +16,21 @@
 use crate::suspects::{record_completed, wait_deadly};
 use crate::tries::{Tries, start_next_attempt};
 
-/// Passes the rest of a stream on.
+/// Forwards the rest of a stream.
 pub struct Relay {
     node: Arc<Node>,
     job: Arc<Job>,
     tries: Tries,
     sender: mpsc::Sender<Result<Bytes, Cut>>,
     stream: RunnerStream,
-    /// Whether a pause was too long already.
+    /// Whether a too long pause was logged already.
     gap_logged: bool,
-    /// Counts the request until it is over.
+    /// Counts the request as in flight until it ends.
     _guards: (RequestGuard, LimitGuard),
 }
 
 impl Relay {
-    /// A stream of which the first events have gone into `sender`.
+    /// Returns the relay of a stream whose first events were sent to `sender`.
     pub fn new(
         node: Arc<Node>,
         job: Arc<Job>,
@@ -42,7 +42,7 @@
         Relay { node, job, tries, sender, stream, gap_logged: false, _guards: guards }
     }
 
-    /// Passes events on until the stream, the caller or the time is over.
+    /// Forwards events until the stream ends, the caller leaves or the deadline passes.
     pub async fn run(mut self) {
         let sender = self.sender.clone();
         let (job, node) = (self.job.clone(), self.node.clone());
@@ -53,14 +53,14 @@
                 Err(refusal) => {
                     figures::count_cut();
                     log::warn!("request {request}: the stream is cut: {refusal}");
-                    // A caller that is gone needs no cut.
+                    // If the caller has left too, nobody needs the cut.
                     let _ = sender.send(Err(Cut)).await;
                 }
             },
             () = sender.closed() => log::info!("request {request}: the caller left"),
             () = node.wait_until(job.deadline) => {
                 figures::count_cut();
-                log::warn!("request {request}: the stream is cut: its time is over");
+                log::warn!("request {request}: the stream is cut: the deadline has passed");
                 let _ = sender.try_send(Err(Cut));
             }
         }
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Says so once when a pause was longer than what counts as in time.
+    /// Logs the first pause that is longer than the route's target.
     fn log_long_gap(&mut self, started: Millis) {
         let pause = self.node.now().since(started);
         if self.gap_logged || self.job.route.target_gap.is_none_or(|gap| pause <= gap) {
@@ -101,7 +101,7 @@
         );
     }
 
-    /// The next events of the present runner, as long as its group is not lost.
+    /// Reads the next events of the current runner, unless its group is lost.
     async fn next_events(&mut self) -> Result<StreamItem, AttemptError> {
         let pick = self.stream.pick.clone();
         let next =
@@ -118,7 +118,7 @@
         }
     }
 
-    /// Takes the stream up at another runner.
+    /// Resumes the stream at another runner, after the last event that was forwarded.
     async fn resume(&mut self, error: &AttemptError) -> Result<(), Refusal> {
         self.tries.record_failure(&self.node, &self.job, error).await;
         let last_event = self.stream.splitter.last();
--- a/crates/node/src/request.rs
+++ b/crates/node/src/request.rs
@@ -1,4 +1,4 @@
-//! Admitting a request and finding where it goes.
+//! Admits a caller's request, picks its route and runs it.
 
 use std::sync::Arc;
 
@@ -21,18 +21,18 @@
 use crate::state::Node;
 use crate::{figures, plain, stream, suspects};
 
-/// The urgency of a request where neither account nor route says one.
+/// The largest priority number that a runner is sent. 0 is the most urgent.
 const MAX_PRIORITY: u8 = 9;
 
-/// A request that comes while the node starts waits for this long for what the store
-/// holds. That is read 20 to 60 ms after the start; callers who were sent away came
-/// back too late to be answered in time.
+/// How long a request waits for a node that is starting to read the store. The read completes 20 to
+/// 60 ms after the start. Callers that were refused instead retried too late to be answered in
+/// time.
 const STARTUP_WAIT: Millis = Millis(150);
 
-/// How long a request waits whose caller and route say nothing.
+/// The time a request may take where neither its caller nor its route limits it.
 const DEFAULT_CALLER_WAIT: Millis = Millis(30_000);
 
-/// Answers one request.
+/// Handles one request of a caller.
 pub async fn answer(node: Arc<Node>, request: Request<Incoming>) -> Answer {
     let (head, body) = request.into_parts();
     let terms = header::read_terms(&head.headers);
@@ -65,7 +65,7 @@
     }
 }
 
-/// Says why a request was refused, and what this node knew then.
+/// Logs why a request was refused, with the state of the configuration at that time.
 fn log_refusal(node: &Node, id: Option<&str>, kind: &str, waited: Millis, refusal: &Refusal) {
     let id = id.unwrap_or("-");
     let version = node.catalog.lock().as_ref().map_or(0, |catalog| catalog.version);
@@ -129,8 +129,9 @@
     })
 }
 
-/// What a refusal for want of a route or a key becomes where a newer configuration may
-/// have it: the caller may come back, and others may know.
+/// Returns [`Refusal::StaleConfig`] in place of a refusal for an unknown route or key if a newer
+/// configuration may have it. Then the caller may retry, and another node may know the route or
+/// key.
 fn replace_if_stale(node: &Node, refusal: Refusal) -> Refusal {
     if node.knows_catalog() { refusal } else { Refusal::StaleConfig }
 }
--- a/crates/node/src/retries.rs
+++ b/crates/node/src/retries.rs
@@ -1,5 +1,5 @@
-//! Paying for requests that are sent again: from what this node has saved up, or else with a
-//! retry that the collector of its hall lends.
+//! Pays for sending requests again: from this node's own retry budget, or else with a retry that
+//! the hall's collector grants from the shared pool.
 
 use std::sync::Arc;
 
@@ -13,28 +13,28 @@
 use crate::peer;
 use crate::state::Node;
 
-/// Of the fleet's retries so much is spent: requests that arrive twice by other ways count in the
-/// rest.
+/// The fraction of the fleet's allowed retries that is used. The rest covers requests that arrive
+/// twice in other ways.
 const BUDGET_FRACTION: f64 = 0.8;
 
-/// A question for a retry.
+/// Asks the collector for one retry.
 #[derive(Serialize, Deserialize)]
 pub(crate) struct Query {
     /// The node that asks.
     pub(crate) node: id::Node,
 }
 
-/// What falls to one node of the retries that the fleet may save up.
+/// Returns this node's share of the retries that the fleet may accumulate.
 fn compute_share(node: &Node) -> Share {
     Share::of(node.settings().bounds.retry_slack * BUDGET_FRACTION, node.directory.lock().count())
 }
 
-/// How many retries one request pays for.
+/// Returns how many retries one request pays for.
 fn compute_ratio(node: &Node) -> f64 {
     node.settings().bounds.retry_ratio * BUDGET_FRACTION
 }
 
-/// Takes this node's share of the retries that the fleet may save up.
+/// Sets this node's retry budget to its share of what the fleet may accumulate.
 pub(crate) fn update_budget(node: &Node) {
     let share = compute_share(node);
     let mut retries = node.retries.lock();
@@ -42,7 +42,8 @@
     retries.set_capacity(share.own);
 }
 
-/// As the collector, keeps what is left over of the shares of the nodes that report to this one.
+/// As the collector, sets the size of the pool to the rest of the shares of the nodes that report
+/// to this one.
 pub(crate) fn update_pool(node: &Node) {
     let now = node.now();
     let nodes = node.reports.lock().count_nodes(now) + 1;
@@ -50,28 +51,28 @@
     node.pool.lock().keep(compute_share(node).left * nodes as f64, window, now);
 }
 
-/// As the collector, takes in that a request of its hall has come.
+/// As the collector, credits the pool for a request of its hall.
 pub(crate) fn deposit_pooled(node: &Node) {
     let deposit = compute_ratio(node) * (1.0 - compute_share(node).part());
     node.pool.lock().earn(deposit);
 }
 
-/// As the collector, lends a retry.
+/// As the collector, grants a retry if the pool has one.
 pub(crate) fn grant(node: &Node, query: &Query) -> bool {
     let granted = node.pool.lock().lend();
     if !granted {
-        log::info!("retries: {} gets none, all of the hall are spent", query.node);
+        log::info!("retries: {} gets none, the pool of the hall is empty", query.node);
     }
     figures::count_loan(granted);
     granted
 }
 
-/// Pays for sending a request again; false if it is not allowed.
+/// Pays for sending a request again. Returns false if that is not allowed.
 pub(crate) async fn spend(node: &Arc<Node>, job: &Job) -> bool {
     if node.retries.lock().withdraw() {
         return true;
     }
-    let Some(collector) = find_available_collector(node) else { return deny(job, "nobody lends one") };
+    let Some(collector) = find_available_collector(node) else { return deny(job, "there is no collector to ask") };
     let query = Query { node: node.settings().node.clone() };
     let granted = match collector.node == query.node {
         true => grant(node, &query),
@@ -83,7 +84,7 @@
             }
         },
     };
-    granted || deny(job, "the retries are spent")
+    granted || deny(job, "the retry budget is spent")
 }
 
 fn deny(job: &Job, reason: &str) -> bool {
--- a/crates/node/src/runner_stream.rs
+++ b/crates/node/src/runner_stream.rs
@@ -1,4 +1,4 @@
-//! A stream under way at one runner, and how long it may be silent.
+//! The stream that a runner sends, and how long the runner may send nothing.
 
 use bytes::Bytes;
 use cottoncrank::Millis;
@@ -14,32 +14,33 @@
 use crate::state::Node;
 use crate::suspects::wait_deadly;
 
-/// A runner that sends nothing for this long is given up on. A group that lost a
-/// member is known to all nodes sooner than that; one that is only busy must not
-/// get the same requests twice. Callers give up after two seconds.
+/// A runner that sends nothing for this long is abandoned. All nodes learn sooner than that of a
+/// group that lost a member, and a group that is only busy must not get the same requests twice.
+/// Callers give up after two seconds.
 pub const SILENCE_TIMEOUT: Millis = Millis(1200);
 
-/// A stream under way at one runner.
+/// A stream in flight at one runner.
 pub struct RunnerStream {
     /// The runner.
     pub pick: Pick,
     body: Incoming,
-    /// What was passed on of it.
+    /// Splits the stream into events, and knows the last event forwarded.
     pub splitter: Splitter,
     _channel: Channel,
     guard: AttemptGuard,
 }
 
-/// What comes next in a stream.
+/// What a stream yields next.
 pub enum StreamItem {
-    /// Whole events.
+    /// One or more whole events.
     Events(Bytes),
-    /// The stream is over.
+    /// The end of the stream.
     End,
 }
 
 impl RunnerStream {
-    /// The body of an answer, to be passed on after event `last_event`. Returns the head as well.
+    /// Opens the body of an answer as a stream that yields the events after `last_event`. Returns
+    /// the head as well.
     pub fn open(attempt: Attempt, last_event: Option<u64>) -> (response::Parts, RunnerStream) {
         let (head, body) = Response::into_parts(attempt.response);
         let splitter = Splitter::after(last_event);
@@ -48,9 +49,9 @@
     }
 }
 
-/// Waits for something from a runner, as long as its group is not lost. After
-/// [`SILENCE_TIMEOUT`] it is given up on too, if it has sent nothing to any request of
-/// this node since `started`, and the request may be sent again.
+/// Waits for a result from a runner, as long as its group is not lost. After [`SILENCE_TIMEOUT`] it
+/// also gives up if the request may be repeated and the runner has sent nothing to any request of
+/// this node since `started`.
 pub async fn wait_unless_unresponsive<T>(
     node: &Node,
     job: &Job,
--- a/crates/node/src/stream.rs
+++ b/crates/node/src/stream.rs
@@ -1,8 +1,8 @@
-//! Requests whose answer is a stream of events.
+//! Runs requests whose answer is a stream of events.
 //!
-//! The head of the first runner's answer is passed on with its first event.
-//! From there the stream may go on at another runner, after the last whole
-//! event that the caller has, within the same answer.
+//! The head of the first runner's answer is forwarded with its first event. After that the stream
+//! may be resumed at another runner, after the last whole event that the caller has, within the
+//! same answer.
 
 use std::sync::Arc;
 
@@ -28,15 +28,15 @@
 use crate::throttle;
 use crate::tries::{Tries, refuse_suspect, start_next_attempt};
 
-/// Events held for a caller that reads slowly.
+/// The chunks buffered for a caller that reads slowly.
 const MAX_BUFFERED_CHUNKS: usize = 8;
 
-/// A request waits at this node for at most this part of the wanted time of its first
-/// event: places become free every few milliseconds, and four fifths of the time are
-/// left for the runner.
+/// A request waits at this node for at most the target latency of its first event divided by this.
+/// Slots become free every few milliseconds, and the runner needs the other four fifths of the
+/// time.
 const MAX_WAIT_DIVISOR: u64 = 5;
 
-/// A stream that has started.
+/// A stream whose first events have been received.
 struct StartedStream {
     head: response::Parts,
     first: Bytes,
@@ -44,14 +44,14 @@
     ended: bool,
 }
 
-/// What the first try that answered came to.
+/// The answer of the first runner that gave one.
 enum FirstAnswer {
     Stream(Box<StartedStream>),
     Whole(Answer),
 }
 
-/// Runs a request. The answer is given with the first event; the rest follows
-/// in a task of its own, which `running` counts.
+/// Runs a request. Returns the answer with the first event. A spawned task forwards the rest and
+/// holds `running` until it ends.
 pub async fn run(node: &Arc<Node>, job: Arc<Job>, running: RequestGuard) -> Result<Answer, Refusal> {
     let model_key = job.model_key();
     let max_wait = Millis(job.route.target_latency.0 / MAX_WAIT_DIVISOR);
@@ -99,8 +99,8 @@
     Ok(answer)
 }
 
-/// Tells the limit how the first event came. A request that met a silent runner
-/// says nothing of how much the others have to do.
+/// Logs a late first event, and raises or lowers the concurrency limit by whether it was in time. A
+/// request that met an unresponsive runner says nothing about the load of the others.
 fn update_limit(node: &Node, job: &Job, tries: &Tries, admitted: &LimitGuard, refusal: Option<&Refusal>) {
     let first_try = tries.tried.len() == 1 && tries.possible_runs == 0;
     let waited = node.now().since(job.arrived);
@@ -123,7 +123,7 @@
     }
 }
 
-/// Tries runners until one sends its first event.
+/// Tries runners until one sends its first event or a whole answer.
 async fn open_stream(node: &Arc<Node>, job: &Job, tries: &mut Tries) -> Result<FirstAnswer, Refusal> {
     loop {
         let last_event = job.terms.last_event;
--- a/crates/node/src/tries.rs
+++ b/crates/node/src/tries.rs
@@ -1,4 +1,4 @@
-//! The tries of one request, and which runner is next.
+//! Tries one request at several runners, and decides which runner is next.
 
 use std::sync::Arc;
 
@@ -18,35 +18,35 @@
 use crate::suspects;
 use crate::throttle;
 
-/// Tries of one request, refused ones included.
+/// The most tries of one request, rejected ones included.
 const MAX_TRIES: usize = 4;
 
 /// The tries of one request so far.
 #[derive(Default)]
 pub struct Tries {
-    /// The runners, in the order in which they were tried.
+    /// The runners tried, in order.
     pub tried: Vec<id::Runner>,
-    /// The last of them.
+    /// The runner tried last.
     last_pick: Option<Pick>,
-    /// Runners at which it may have run.
+    /// The number of runners at which the request may have run.
     pub possible_runs: u32,
-    /// Runners that had no place for it.
+    /// The number of runners that rejected the request for lack of a free slot.
     pub rejections: u32,
-    /// Whether it has reached a runner: from then on sending it costs a retry.
+    /// Whether the request has reached a runner. From then on, sending it again costs a retry.
     reached_runner: bool,
-    /// The group that was chosen for the next try.
+    /// The group that the collector chose for the next try.
     next_assignment: Option<Promise>,
-    /// What the group was expected to do that has the present try, if it was chosen.
+    /// The assignment that the current try follows; none if this node picked the runner.
     pub assignment: Option<Promise>,
 }
 
 impl Tries {
-    /// No tries so far; the first one goes where the hall's collector said.
+    /// Returns an empty list of tries. The first try goes to the group that the collector chose.
     pub fn following(reply: Option<Reply>) -> Tries {
         Tries { next_assignment: read_assignment(reply), ..Tries::default() }
     }
 
-    /// What the caller is told if there is no other try.
+    /// Returns the refusal that the caller gets if there is no other try.
     fn final_refusal(&self, node: &Node, job: &Job) -> Refusal {
         match (self.possible_runs, self.tried.is_empty()) {
             (0, true) => refuse_if_backing_off(node, job).unwrap_or(Refusal::NoRunner),
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Takes a try in that gave no answer.
+    /// Counts and logs a try that failed, and investigates whether the runner crashed.
     pub async fn record_failure(&mut self, node: &Arc<Node>, job: &Job, error: &AttemptError) {
         self.possible_runs += u32::from(error.may_have_run());
         self.rejections += u32::from(matches!(error, AttemptError::Rejected(_)));
@@ -74,8 +74,8 @@
     }
 }
 
-/// Why a suspected request is not run at present, as the collector says or, where it says
-/// nothing, as this node knows.
+/// Returns the refusal of a suspected request that may not run now. The collector's reply decides;
+/// without one, this node's own knowledge does.
 pub fn refuse_suspect(node: &Node, job: &Job, reply: Option<Reply>) -> Option<Refusal> {
     match reply {
         Some(Reply::Take(_) | Reply::Full(_) | Reply::Throttled(_)) => None,
@@ -96,7 +96,8 @@
     }
 }
 
-/// Gets the head of an answer out of the next runner.
+/// Sends the request to the next runner and returns the attempt once the head of an answer is
+/// there. Tries further runners until one answers or the tries are used up.
 pub async fn start_next_attempt(
     node: &Arc<Node>,
     job: &Job,
