--- a/crates/node/src/answer.rs
+++ b/crates/node/src/answer.rs
@@ -108,7 +108,7 @@
         /// How long the caller still waits; none if the caller did not say.
         remaining: Option<Millis>,
     },
-    /// Runners were tried, and all said that they did not run the request.
+    /// Runners were tried, and none of them ran the request.
     #[error("the runners asked did not run it")]
     NotRun,
     /// The request may have run, and there is no answer that can be forwarded.
@@ -210,7 +210,7 @@
     }
 
     /// Returns the answer that reports the refusal.
-    pub fn answer(&self, request: Option<&str>) -> Answer {
+    pub fn to_answer(&self, request: Option<&str>) -> Answer {
         let mut answer = Response::new(Body::Whole(Some(Bytes::from(format!("{self}\n")))));
         *answer.status_mut() = self.status();
         let headers = answer.headers_mut();
--- a/crates/node/src/attempt.rs
+++ b/crates/node/src/attempt.rs
@@ -86,7 +86,7 @@
     /// No connection was made, or nothing was sent on it: the request did not reach the runner.
     #[error("not run: {0}")]
     Unreached(String),
-    /// The runner said that it did not run the request.
+    /// The runner certainly did not run the request.
     #[error("not run: {0}")]
     NotRun(String),
     /// The runner rejected the request for lack of a free slot, and did not run it. It may have
@@ -121,7 +121,7 @@
 
     /// Whether the request reached the runner. Only then does sending it again count as a retry and
     /// use the retry budget.
-    pub fn reached_runner(&self) -> bool {
+    pub fn has_reached_runner(&self) -> bool {
         !matches!(self, AttemptError::Unreached(_))
     }
 
@@ -174,8 +174,8 @@
 }
 
 impl Pick {
-    /// Waits until the group is retired with its requests unfinished. Waits forever if that does
-    /// not happen.
+    /// Waits until the group is retired with its requests unfinished, or is in no plan any more.
+    /// Waits forever if that does not happen.
     pub async fn wait_lost(&self, node: &Node) {
         let Some((name, epoch)) = &self.group else { return std::future::pending().await };
         let mut changes = node.plans_changed.subscribe();
--- a/crates/node/src/candidates.rs
+++ b/crates/node/src/candidates.rs
@@ -69,7 +69,7 @@
     rated.collect()
 }
 
-/// Returns the runner that the hall has a permit for, if it is not backing off from this node.
+/// Picks a runner by its id, if it serves the request and is not backing off from this node.
 pub fn pick_by_id(node: &Node, job: &Job, runner: &id::Runner) -> Option<Pick> {
     let roster = node.roster.lock();
     let candidates = list_accepting(node, &roster, job);
@@ -77,8 +77,8 @@
     Some(build_pick(node, job, found))
 }
 
-/// Returns the refusal of a request whose candidates are all backing off. Neither waiting nor
-/// another try would help.
+/// Returns the refusal of a request whose candidates are all backing off, because neither waiting
+/// nor another try would help. Returns none if a candidate accepts requests.
 pub fn refuse_if_backing_off(node: &Node, job: &Job) -> Option<Refusal> {
     let now = node.now();
     if node.said.lock().backoffs.is_empty(now) {
@@ -91,21 +91,22 @@
         Admission::Closed(until) => Some(until),
         Admission::Open | Admission::Rated(_) => None,
     });
-    let first = backoff_ends.collect::<Option<Vec<Millis>>>()?.into_iter().min()?;
-    Some(Refusal::Backoff { wait: first.since(now), remaining: job.remaining_time(now) })
+    let first_end = backoff_ends.collect::<Option<Vec<Millis>>>()?.into_iter().min()?;
+    Some(Refusal::Backoff { wait: first_end.since(now), remaining: job.remaining_time(now) })
 }
 
-/// Counts the groups or runners that can take a request, as far as this node knows.
+/// Counts the groups or runners that can take a request, as far as this node knows, and records the
+/// number in the baseline of what is usual.
 pub fn count_capacity(node: &Node, job: &Job) -> Capacity {
     let now = node.now();
-    let sound = {
+    let healthy = {
         let roster = node.roster.lock();
         let candidates = list_accepting(node, &roster, job);
         let ledger = node.ledger.lock();
         candidates.into_iter().filter(|runner| ledger.is_sound(runner, now)).count()
     };
     let (service, model) = job.model_key();
-    node.usual.lock().record(&service, model.as_ref(), sound, now)
+    node.usual.lock().record(&service, model.as_ref(), healthy, now)
 }
 
 /// Whether the request's runners have room for it; none if that is unknown.
@@ -124,8 +125,8 @@
     let head = candidates
         .into_iter()
         .find(|head| head.membership.as_ref().is_some_and(|membership| membership.epoch == epoch))?;
-    let sound = node.ledger.lock().is_sound(head, node.now()) && !tried.contains(&head.id);
-    sound.then(|| build_pick(node, job, head))
+    let healthy = node.ledger.lock().is_sound(head, node.now()) && !tried.contains(&head.id);
+    healthy.then(|| build_pick(node, job, head))
 }
 
 fn build_pick(node: &Node, job: &Job, runner: &Runner) -> Pick {
--- a/crates/node/src/dispatch.rs
+++ b/crates/node/src/dispatch.rs
@@ -133,11 +133,11 @@
     let roster = node.roster.lock();
     let heads = roster.list_heads(&query.service, &query.model, &node.plans.lock());
     let loads = node.reports.lock().sum_loads(&own_in_flight, now);
-    let sound = {
+    let healthy = {
         let ledger = node.ledger.lock();
         heads.iter().filter(|head| ledger.is_sound(head, now) && query.is_welcome_at(head)).count()
     };
-    let ruling = decide_ruling(node, query, sound, now);
+    let ruling = decide_ruling(node, query, healthy, now);
     let trials = match ruling {
         Ruling::Run => Vec::new(),
         Ruling::Trial => node.trials.lock().list_trial_groups(&query.fingerprint, now),
--- a/crates/node/src/front.rs
+++ b/crates/node/src/front.rs
@@ -62,7 +62,7 @@
     let service = service_fn(|request: Request<Incoming>| {
         let node = node.clone();
         async move {
-            let mut answer = request::answer(node.clone(), request).await;
+            let mut answer = request::handle(node.clone(), request).await;
             if *node.draining.borrow() {
                 answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
             }
--- a/crates/node/src/in_flight.rs
+++ b/crates/node/src/in_flight.rs
@@ -38,7 +38,7 @@
         wait: Millis,
         has_room: impl Fn() -> Option<bool>,
     ) -> Option<LimitGuard> {
-        let end = self.now() + wait;
+        let deadline = self.now() + wait;
         loop {
             {
                 let runners_have_room = has_room();
@@ -49,7 +49,7 @@
                     return Some(LimitGuard { node: self.clone(), model_key: model_key.clone() });
                 }
             }
-            let remaining = end.since(self.now());
+            let remaining = deadline.since(self.now());
             if remaining == Millis(0) {
                 return None;
             }
--- a/crates/node/src/plain.rs
+++ b/crates/node/src/plain.rs
@@ -72,7 +72,7 @@
             Err(error) => {
                 figures::count_failed_attempt(error.reason());
                 log::info!("request {}: try {} at {}: {error}", job.id(), tried.len(), pick.id);
-                reached_runner |= error.reached_runner();
+                reached_runner |= error.has_reached_runner();
                 crash::investigate(node, job, &pick, &error).await;
                 if error.may_have_run() {
                     possible_runs += 1;
@@ -99,7 +99,8 @@
     read_answer(node, attempt).await
 }
 
-/// Reads an answer to its end. Fails if the body is shorter than its announced length.
+/// Reads an answer to its end. Fails if the body is shorter than its announced length,
+/// or larger than `MAX_ANSWER_BYTES`.
 pub async fn read_answer(node: &Node, attempt: Attempt) -> Result<Answer, AttemptError> {
     let (head, body) = attempt.response.into_parts();
     let collected = Limited::new(body, MAX_ANSWER_BYTES).collect().await;
--- a/crates/node/src/relay.rs
+++ b/crates/node/src/relay.rs
@@ -69,7 +69,7 @@
     async fn forward(&mut self) -> Result<(), Refusal> {
         loop {
             let started = self.node.now();
-            match self.next_events().await {
+            match self.receive_events().await {
                 Ok(StreamItem::Events(events)) => {
                     self.log_long_gap(started);
                     if self.sender.send(Ok(events)).await.is_err() {
@@ -102,7 +102,7 @@
     }
 
     /// Reads the next events of the current runner, unless its group is lost.
-    async fn next_events(&mut self) -> Result<StreamItem, AttemptError> {
+    async fn receive_events(&mut self) -> Result<StreamItem, AttemptError> {
         let pick = self.stream.pick.clone();
         let next =
             tokio::time::timeout(SILENCE_TIMEOUT.duration(), read_next_events(&self.node, &mut self.stream));
--- a/crates/node/src/request.rs
+++ b/crates/node/src/request.rs
@@ -29,15 +29,15 @@
 /// time.
 const STARTUP_WAIT: Millis = Millis(150);
 
-/// The time a request may take where neither its caller nor its route limits it.
+/// How long a caller waits that does not say so. The timeout of the route applies as well.
 const DEFAULT_CALLER_WAIT: Millis = Millis(30_000);
 
 /// Handles one request of a caller.
-pub async fn answer(node: Arc<Node>, request: Request<Incoming>) -> Answer {
+pub async fn handle(node: Arc<Node>, request: Request<Incoming>) -> Answer {
     let (head, body) = request.into_parts();
     let terms = header::read_terms(&head.headers);
     let id = terms.request.clone();
-    let running = node.begin_request();
+    let request_guard = node.begin_request();
     let arrived = node.now();
     let mut kind = "none";
     let outcome = match admit(&node, head, body, terms).await {
@@ -45,7 +45,7 @@
             kind = job.route.kind.name();
             let deadline = job.deadline;
             tokio::select! {
-                outcome = run(&node, Arc::new(job), running) => outcome,
+                outcome = run(&node, Arc::new(job), request_guard) => outcome,
                 () = node.wait_until(deadline) => Err(Refusal::DeadlineExceeded),
             }
         }
@@ -60,7 +60,7 @@
         }
         Err(refusal) => {
             log_refusal(&node, id.as_deref(), kind, waited, &refusal);
-            refusal.answer(id.as_deref())
+            refusal.to_answer(id.as_deref())
         }
     }
 }
@@ -75,7 +75,7 @@
     );
 }
 
-async fn run(node: &Arc<Node>, job: Arc<Job>, running: RequestGuard) -> Result<Answer, Refusal> {
+async fn run(node: &Arc<Node>, job: Arc<Job>, request_guard: RequestGuard) -> Result<Answer, Refusal> {
     node.retries.lock().deposit();
     if suspects::is_deadly(node, &job) {
         return Err(Refusal::Deadly);
@@ -84,7 +84,7 @@
         return Err(refusal);
     }
     match job.route.kind {
-        Kind::Stream => stream::run(node, job, running).await,
+        Kind::Stream => stream::run(node, job, request_guard).await,
         Kind::Idempotent | Kind::Once => plain::run(node, &job).await,
     }
 }
--- a/crates/node/src/retries.rs
+++ b/crates/node/src/retries.rs
@@ -72,7 +72,7 @@
     if node.retries.lock().withdraw() {
         return true;
     }
-    let Some(collector) = find_available_collector(node) else { return deny(job, "there is no collector to ask") };
+    let Some(collector) = find_available_collector(node) else { return deny(job, "no collector to ask") };
     let query = Query { node: node.settings().node.clone() };
     let granted = match collector.node == query.node {
         true => grant(node, &query),
--- a/crates/node/src/stream.rs
+++ b/crates/node/src/stream.rs
@@ -34,12 +34,12 @@
 /// A request waits at this node for at most the target latency of its first event divided by this.
 /// Slots become free every few milliseconds, and the runner needs the other four fifths of the
 /// time.
-const MAX_WAIT_DIVISOR: u64 = 5;
+const QUEUE_WAIT_DIVISOR: u64 = 5;
 
 /// A stream whose first events have been received.
 struct StartedStream {
     head: response::Parts,
-    first: Bytes,
+    first_events: Bytes,
     stream: RunnerStream,
     ended: bool,
 }
@@ -51,10 +51,10 @@
 }
 
 /// Runs a request. Returns the answer with the first event. A spawned task forwards the rest and
-/// holds `running` until it ends.
-pub async fn run(node: &Arc<Node>, job: Arc<Job>, running: RequestGuard) -> Result<Answer, Refusal> {
+/// holds `request_guard` until it ends.
+pub async fn run(node: &Arc<Node>, job: Arc<Job>, request_guard: RequestGuard) -> Result<Answer, Refusal> {
     let model_key = job.model_key();
-    let max_wait = Millis(job.route.target_latency.0 / MAX_WAIT_DIVISOR);
+    let max_wait = Millis(job.route.target_latency.0 / QUEUE_WAIT_DIVISOR);
     let remaining = (job.arrived + job.route.target_latency).since(node.now());
     let reply = dispatch::query_collector(node, &job, Urgency::Within(remaining.0), &[]).await;
     if let Some(refusal) = refuse_suspect(node, &job, reply) {
@@ -63,7 +63,7 @@
     if let Some(Reply::Throttled(wait)) = reply {
         return Err(throttle::refuse(node, &job, Millis(wait)));
     }
-    let admitted = match reply {
+    let limit_guard = match reply {
         Some(Reply::Take(_)) => Some(node.admit_assigned(&model_key)),
         Some(Reply::Full(_)) => None,
         None | Some(Reply::Unknown | Reply::Throttled(_) | Reply::Held | Reply::Deadly) => {
@@ -74,15 +74,16 @@
         Some(Reply::Full(wait)) => Some(Millis(wait)),
         _ => None,
     };
-    let admitted = admitted.ok_or_else(|| Refusal::Full { running: node.count_running(&model_key), wait })?;
-    let mut tries = Tries::following(reply);
+    let limit_guard =
+        limit_guard.ok_or_else(|| Refusal::Full { running: node.count_running(&model_key), wait })?;
+    let mut tries = Tries::from_reply(reply);
     let assigned_at = node.now();
     let opened = open_stream(node, &job, &mut tries).await;
     if let (Ok(FirstAnswer::Stream(_)), [_], Some(assignment)) = (&opened, &tries.tried[..], tries.assignment)
     {
         dispatch::record_first_event(node, &job, assignment, node.now().since(assigned_at));
     }
-    update_limit(node, &job, &tries, &admitted, opened.as_ref().err());
+    update_limit(node, &job, &tries, &limit_guard, opened.as_ref().err());
     let started = match opened? {
         FirstAnswer::Stream(started) => started,
         FirstAnswer::Whole(answer) => return Ok(answer),
@@ -92,8 +93,9 @@
     *answer.status_mut() = started.head.status;
     *answer.headers_mut() = header::strip(&started.head.headers);
     answer.headers_mut().remove(CONTENT_LENGTH);
-    if sender.try_send(Ok(started.first)).is_ok() && !started.ended {
-        let relay = Relay::new(node.clone(), job, tries, sender, started.stream, (running, admitted));
+    if sender.try_send(Ok(started.first_events)).is_ok() && !started.ended {
+        let relay =
+            Relay::new(node.clone(), job, tries, sender, started.stream, (request_guard, limit_guard));
         tokio::spawn(relay.run());
     }
     Ok(answer)
@@ -101,12 +103,12 @@
 
 /// Logs a late first event, and raises or lowers the concurrency limit by whether it was in time. A
 /// request that met an unresponsive runner says nothing about the load of the others.
-fn update_limit(node: &Node, job: &Job, tries: &Tries, admitted: &LimitGuard, refusal: Option<&Refusal>) {
+fn update_limit(node: &Node, job: &Job, tries: &Tries, limit_guard: &LimitGuard, refusal: Option<&Refusal>) {
     let first_try = tries.tried.len() == 1 && tries.possible_runs == 0;
     let waited = node.now().since(job.arrived);
     let in_time = waited <= job.route.target_latency;
     if refusal.is_none() && !in_time {
-        let level = admitted.level();
+        let level = limit_guard.level();
         let (runner, count) = (tries.tried.last().map_or("-", id::Runner::as_str), tries.tried.len());
         log::info!(
             "request {}: late: first event after {waited}, wanted within {}, try {count} at {runner}, limit {level:.0}",
@@ -116,9 +118,9 @@
     }
     match refusal {
         None if first_try || tries.rejections > 0 => {
-            admitted.record_first_event(in_time && tries.rejections == 0)
+            limit_guard.record_first_event(in_time && tries.rejections == 0)
         }
-        Some(Refusal::NotRun) => admitted.record_first_event(false),
+        Some(Refusal::NotRun) => limit_guard.record_first_event(false),
         _ => {}
     }
 }
@@ -140,13 +142,13 @@
         }
         let (head, mut stream) = RunnerStream::open(attempt, last_event);
         match read_first_events(node, job, &mut stream).await {
-            Ok(StreamItem::Events(first)) => {
-                let started = StartedStream { head, first, stream, ended: false };
+            Ok(StreamItem::Events(first_events)) => {
+                let started = StartedStream { head, first_events, stream, ended: false };
                 return Ok(FirstAnswer::Stream(Box::new(started)));
             }
             Ok(StreamItem::End) => {
                 record_completed(node, &job.fingerprint);
-                let started = StartedStream { head, first: Bytes::new(), stream, ended: true };
+                let started = StartedStream { head, first_events: Bytes::new(), stream, ended: true };
                 return Ok(FirstAnswer::Stream(Box::new(started)));
             }
             Err(error) => tries.record_failure(node, job, &error).await,
--- a/crates/node/src/tries.rs
+++ b/crates/node/src/tries.rs
@@ -42,12 +42,12 @@
 
 impl Tries {
     /// Returns an empty list of tries. The first try goes to the group that the collector chose.
-    pub fn following(reply: Option<Reply>) -> Tries {
+    pub fn from_reply(reply: Option<Reply>) -> Tries {
         Tries { next_assignment: read_assignment(reply), ..Tries::default() }
     }
 
     /// Returns the refusal that the caller gets if there is no other try.
-    fn final_refusal(&self, node: &Node, job: &Job) -> Refusal {
+    fn pick_refusal(&self, node: &Node, job: &Job) -> Refusal {
         match (self.possible_runs, self.tried.is_empty()) {
             (0, true) => refuse_if_backing_off(node, job).unwrap_or(Refusal::NoRunner),
             (0, false) => refuse_if_backing_off(node, job).unwrap_or(Refusal::NotRun),
@@ -59,7 +59,7 @@
     pub async fn record_failure(&mut self, node: &Arc<Node>, job: &Job, error: &AttemptError) {
         self.possible_runs += u32::from(error.may_have_run());
         self.rejections += u32::from(matches!(error, AttemptError::Rejected(_)));
-        self.reached_runner |= error.reached_runner();
+        self.reached_runner |= error.has_reached_runner();
         figures::count_failed_attempt(error.reason());
         let runner = self.tried.last().map_or("-", id::Runner::as_str);
         let chooser = if self.assignment.is_some() { "the collector" } else { "this node" };
@@ -105,7 +105,7 @@
     last_event: Option<u64>,
 ) -> Result<Attempt, Refusal> {
     loop {
-        let refusal = tries.final_refusal(node, job);
+        let refusal = tries.pick_refusal(node, job);
         let repeatable = tries.possible_runs == 0 || job.route.is_repeatable();
         if tries.tried.len() >= MAX_TRIES || tries.possible_runs >= job.route.attempts || !repeatable {
             return Err(refusal);
--- a/crates/node/tests/requests.rs
+++ b/crates/node/tests/requests.rs
@@ -312,7 +312,7 @@
 fn callers_that_are_refused_together_come_back_one_after_the_other() {
     let times: Vec<f64> = (0..200)
         .map(|_| {
-            let answer = Refusal::Full { running: 7, wait: None }.answer(Some("r"));
+            let answer = Refusal::Full { running: 7, wait: None }.to_answer(Some("r"));
             answer.headers()["retry-after"].to_str().unwrap().parse().unwrap()
         })
         .collect();
