--- a/crates/node/src/answer.rs
+++ b/crates/node/src/answer.rs
@@ -1,4 +1,4 @@
-//! Answers to callers: whole ones, streams, and refusals.
+//! Answers to callers: whole ones, streams and refusals.
 
 use std::pin::Pin;
 use std::task::{Context, Poll};
@@ -14,16 +14,16 @@
 use thiserror::Error;
 use tokio::sync::mpsc;
 
-/// An answer.
+/// An answer to a caller.
 pub type Answer = Response<Body>;
 
 /// The body of an answer.
 pub enum Body {
-    /// All of it, until it has been taken.
+    /// The whole body; none once it has been sent.
     Whole(Option<Bytes>),
-    /// Pieces as they come. An error closes the connection, so that a broken
-    /// answer does not look whole.
-    Feed(mpsc::Receiver<Result<Bytes, Cut>>),
+    /// Chunks as they arrive. An error closes the connection, so that a broken answer does not look
+    /// complete.
+    Stream(mpsc::Receiver<Result<Bytes, Cut>>),
 }
 
 impl hyper::body::Body for Body {
@@ -36,7 +36,9 @@
     ) -> Poll<Option<Result<Frame<Bytes>, Cut>>> {
         match self.get_mut() {
             Body::Whole(bytes) => Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes)))),
-            Body::Feed(feed) => feed.poll_recv(context).map(|next| next.map(|piece| piece.map(Frame::data))),
+            Body::Stream(receiver) => {
+                receiver.poll_recv(context).map(|next| next.map(|piece| piece.map(Frame::data)))
+            }
         }
     }
 
@@ -47,172 +49,175 @@
     fn size_hint(&self) -> SizeHint {
         match self {
             Body::Whole(bytes) => SizeHint::with_exact(bytes.as_ref().map_or(0, |bytes| bytes.len() as u64)),
-            Body::Feed(_) => SizeHint::default(),
+            Body::Stream(_) => SizeHint::default(),
         }
     }
 }
 
-/// Why a request was given up on.
+/// Why a request was refused or given up.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum Refusal {
     /// No route has this host and path.
     #[error("no route")]
     NoRoute,
-    /// The key is no account's.
+    /// The key belongs to no account.
     #[error("unknown key")]
-    Key,
+    UnknownKey,
     /// The body is larger than allowed.
     #[error("the body is too large")]
     TooLarge,
     /// The body broke off.
     #[error("the body broke off")]
-    Body,
-    /// The node does not know enough to judge the request; it has not run.
+    BrokenBody,
+    /// The node's configuration is missing or too old to judge the request. The request has not
+    /// run.
     #[error("this node cannot judge requests at present")]
-    Unsure,
-    /// No runner can take it at present; it has not run.
+    StaleConfig,
+    /// No runner can take the request now. It has not run.
     #[error("no runner can take it at present")]
     NoRunner,
-    /// As many requests as its runners can take in time are under way; it has not run.
-    #[error("its runners have all they can take in time, {running} of them from here{}", show_wait(.wait))]
+    /// Its runners have as many requests in flight as they can answer in time. It has not run.
+    #[error("its runners have all they can take in time, {running} of them from here{}", format_wait(.wait))]
     Full {
-        /// Requests of its model under way at this node.
+        /// The requests of its model that are in flight at this node.
         running: u32,
-        /// How far away the earliest first event is, as far as the hall's collector knows.
+        /// The time until the earliest possible first event, as far as the hall's collector knows.
         wait: Option<Millis>,
     },
-    /// Runners have ended under it, and another run of it is undecided; it has not run.
+    /// Runners have crashed under the request, and the outcome of another run of it is not known
+    /// yet. It has not run.
     #[error("runners have ended under it, and it is not clear yet whether because of it")]
-    Held,
-    /// It ends the runners that run it. It will do so again: nobody is served by that.
+    Quarantined,
+    /// The request crashes the runners that run it. It would do so again, so no retry can succeed.
     #[error("it ends the runners that run it and is not run any more; it is no use to send it again")]
     Deadly,
-    /// All runners that can take it have said that they want no requests from this node for a
-    /// while.
-    #[error("the runners want no requests for {wait}{}", show_patience(*wait, *patience))]
+    /// All runners that can take the request are backing off from this node.
+    #[error("the runners want no requests for {wait}{}", format_remaining(*wait, *remaining))]
     Backoff {
-        /// Until the first one wants some again.
+        /// The time until the first backoff ends.
         wait: Millis,
-        /// How long its caller waits; none if that is not said.
-        patience: Option<Millis>,
+        /// How long the caller still waits; none if the caller did not say.
+        remaining: Option<Millis>,
     },
-    /// All runners that can take it have had as many requests as they take from all nodes together.
-    #[error("the runners have had as many requests as they take, the next place is {wait} away{}", show_patience(*wait, *patience))]
+    /// All runners that can take the request are at the rate that they accept from all nodes
+    /// together.
+    #[error("the runners have had as many requests as they take, the next place is {wait} away{}", format_remaining(*wait, *remaining))]
     Throttled {
-        /// Until there is a place.
+        /// The time until one of them accepts a request.
         wait: Millis,
-        /// How long its caller waits; none if that is not said.
-        patience: Option<Millis>,
+        /// How long the caller still waits; none if the caller did not say.
+        remaining: Option<Millis>,
     },
-    /// Runners were asked, and all said that they did not run it.
+    /// Runners were tried, and none of them ran the request.
     #[error("the runners asked did not run it")]
     NotRun,
-    /// It may have run, and gave no answer that can be passed on.
+    /// The request may have run, and there is no answer that can be forwarded.
     #[error("it may have run, and there is no answer")]
     MayHaveRun,
-    /// The time it had is over.
+    /// The deadline has passed.
     #[error("the time it had is over")]
-    Late,
+    DeadlineExceeded,
 }
 
-fn show_wait(wait: &Option<Millis>) -> String {
+fn format_wait(wait: &Option<Millis>) -> String {
     wait.map_or(String::new(), |wait| format!(", the earliest first event is {wait} away"))
 }
 
-fn show_patience(wait: Millis, patience: Option<Millis>) -> String {
-    match patience.filter(|patience| *patience <= wait) {
-        Some(patience) => format!(", and the caller waits for {patience}"),
+fn format_remaining(wait: Millis, remaining: Option<Millis>) -> String {
+    match remaining.filter(|remaining| *remaining <= wait) {
+        Some(remaining) => format!(", and the caller waits for {remaining}"),
         None => String::new(),
     }
 }
 
-/// When a caller should come back where no runner can take its request. Lost
-/// groups are formed anew within two or three seconds; callers come back after
-/// a third of the time they have left at the latest.
-const COME_BACK: Millis = Millis(600);
+/// The delay after which a caller should retry where no runner can take its request. Lost groups
+/// are formed again within two or three seconds. Callers retry after a third of their remaining
+/// time at the latest.
+const RETRY_DELAY: Millis = Millis(600);
 
-/// When a caller should come back to runners that have all they can take, at the
-/// soonest: a shortage lasts for as long as a group takes to be formed anew, two to four
-/// seconds.
-const COME_BACK_FULL: Millis = Millis(1500);
+/// The shortest delay after which a caller should retry at runners that are full. A shortage lasts
+/// as long as forming a group again takes, two to four seconds.
+const FULL_RETRY_DELAY: Millis = Millis(1500);
 
-/// Callers that are refused together come back spread over this time.
-const SPREAD_FULL: Millis = Millis(1000);
+/// The jitter that spreads the retries of callers refused at the same time.
+const RETRY_JITTER: Millis = Millis(1000);
 
 impl Refusal {
     fn status(&self) -> StatusCode {
         match self {
             Refusal::NoRoute => StatusCode::NOT_FOUND,
-            Refusal::Key => StatusCode::UNAUTHORIZED,
+            Refusal::UnknownKey => StatusCode::UNAUTHORIZED,
             Refusal::TooLarge => StatusCode::PAYLOAD_TOO_LARGE,
-            // The status after which callers do not come again.
-            Refusal::Body | Refusal::Deadly => StatusCode::BAD_REQUEST,
-            Refusal::Unsure
+            // Callers do not retry after this status.
+            Refusal::BrokenBody | Refusal::Deadly => StatusCode::BAD_REQUEST,
+            Refusal::StaleConfig
             | Refusal::NoRunner
-            | Refusal::Held
+            | Refusal::Quarantined
             | Refusal::NotRun
             | Refusal::Full { .. }
             | Refusal::Backoff { .. }
             | Refusal::Throttled { .. } => StatusCode::SERVICE_UNAVAILABLE,
             Refusal::MayHaveRun => StatusCode::BAD_GATEWAY,
-            Refusal::Late => StatusCode::GATEWAY_TIMEOUT,
+            Refusal::DeadlineExceeded => StatusCode::GATEWAY_TIMEOUT,
         }
     }
 
-    /// The reason as the figures name it.
+    /// Returns the reason as a metric label.
     pub fn reason(&self) -> &'static str {
         match self {
             Refusal::NoRoute => "no_route",
-            Refusal::Key => "key",
+            Refusal::UnknownKey => "key",
             Refusal::TooLarge => "too_large",
-            Refusal::Body => "body",
-            Refusal::Unsure => "unsure",
+            Refusal::BrokenBody => "body",
+            Refusal::StaleConfig => "unsure",
             Refusal::NoRunner => "no_runner",
             Refusal::Full { .. } => "full",
             Refusal::Backoff { .. } => "backoff",
             Refusal::Throttled { .. } => "throttled",
-            Refusal::Held => "held",
+            Refusal::Quarantined => "held",
             Refusal::Deadly => "deadly",
             Refusal::NotRun => "not_run",
             Refusal::MayHaveRun => "may_have_run",
-            Refusal::Late => "late",
+            Refusal::DeadlineExceeded => "late",
         }
     }
 
-    /// Whether coming back later helps.
-    fn is_passing(&self) -> bool {
+    /// Whether a later retry may succeed.
+    fn is_retryable(&self) -> bool {
         match self {
-            Refusal::Unsure | Refusal::NoRunner | Refusal::Held | Refusal::NotRun | Refusal::Full { .. } => {
-                true
-            }
-            // A caller whose time ends first would be refused again.
-            Refusal::Backoff { wait, patience } | Refusal::Throttled { wait, patience } => {
-                patience.is_none_or(|patience| *wait < patience)
+            Refusal::StaleConfig
+            | Refusal::NoRunner
+            | Refusal::Quarantined
+            | Refusal::NotRun
+            | Refusal::Full { .. } => true,
+            // A caller whose time ends before the wait would be refused again.
+            Refusal::Backoff { wait, remaining } | Refusal::Throttled { wait, remaining } => {
+                remaining.is_none_or(|remaining| *wait < remaining)
             }
             _ => false,
         }
     }
 
-    /// When the caller should come back.
-    fn pick_return(&self) -> Millis {
+    /// Returns the delay after which the caller should retry.
+    fn pick_retry_delay(&self) -> Millis {
         match self {
-            Refusal::Full { .. } => COME_BACK_FULL + Millis(rand::rng().random_range(0..SPREAD_FULL.0)),
-            // The collector has spread those already.
+            Refusal::Full { .. } => FULL_RETRY_DELAY + Millis(rand::rng().random_range(0..RETRY_JITTER.0)),
+            // The collector has already spread these retries.
             Refusal::Throttled { wait, .. } => *wait,
-            Refusal::Backoff { wait, .. } => *wait + Millis(rand::rng().random_range(0..SPREAD_FULL.0)),
-            _ => COME_BACK,
+            Refusal::Backoff { wait, .. } => *wait + Millis(rand::rng().random_range(0..RETRY_JITTER.0)),
+            _ => RETRY_DELAY,
         }
     }
 
-    /// The answer that tells the caller.
-    pub fn answer(&self, request: Option<&str>) -> Answer {
+    /// Returns the answer that reports the refusal.
+    pub fn to_answer(&self, request: Option<&str>) -> Answer {
         let mut answer = Response::new(Body::Whole(Some(Bytes::from(format!("{self}\n")))));
         *answer.status_mut() = self.status();
         let headers = answer.headers_mut();
         headers.insert(CONTENT_TYPE, HeaderValue::from_static("text/plain"));
         header::write_request_id(headers, request);
-        if self.is_passing() {
-            header::write_retry_after(headers, self.pick_return());
+        if self.is_retryable() {
+            header::write_retry_after(headers, self.pick_retry_delay());
         }
         answer
     }
--- a/crates/node/src/attempt.rs
+++ b/crates/node/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One try of a request at one runner.
+//! One attempt of a request at one runner.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,91 +18,91 @@
 
 use crate::backoff;
 use crate::channel::{Channel, ChannelError};
-use crate::flight::{Attempting, Lane};
+use crate::in_flight::{AttemptGuard, ModelKey};
 use crate::state::Node;
 use crate::throttle;
 
 /// A request that was admitted.
 pub struct Job {
-    /// Its head, as the caller sent it.
+    /// The head, as the caller sent it.
     pub head: Parts,
-    /// Its body.
+    /// The body.
     pub body: Bytes,
-    /// What its headers say.
+    /// The terms that the caller's headers set, such as the deadline.
     pub terms: RequestMetadata,
-    /// Its route.
+    /// The route.
     pub route: Arc<Route>,
-    /// The configuration it was admitted under.
+    /// The configuration that the request was admitted under.
     pub catalog: Arc<Catalog>,
-    /// The service it goes to.
+    /// The service that the request goes to.
     pub service: id::Service,
-    /// The account it belongs to.
+    /// The account that the request belongs to.
     pub account: Option<id::Account>,
-    /// Its urgency, 0 first.
+    /// The priority; 0 is the most urgent.
     pub priority: u8,
-    /// What it has in common with the same request sent again.
+    /// Equal for a request and a repetition of it.
     pub fingerprint: Fingerprint,
-    /// When it came.
+    /// When the request arrived.
     pub arrived: Millis,
-    /// When it has to be answered.
-    pub end: Millis,
+    /// When the request has to be answered.
+    pub deadline: Millis,
 }
 
 impl Job {
-    /// What the request shares a limit with. Only models that operators named
-    /// have one of their own: callers may name any.
-    pub fn lane(&self) -> Lane {
-        let named = |model: &&id::Model| {
+    /// Returns the key of the concurrency limit that the request counts against. Only configured
+    /// models have a limit of their own, because callers may name any model.
+    pub fn model_key(&self) -> ModelKey {
+        let is_configured = |model: &&id::Model| {
             self.engine().is_some_and(|engine| engine.models.iter().any(|known| known.name == **model))
         };
-        (self.service.clone(), self.terms.model.as_ref().filter(named).cloned())
+        (self.service.clone(), self.terms.model.as_ref().filter(is_configured).cloned())
     }
 
-    /// The engine of its service, where that forms groups.
+    /// Returns the engine of the service, if the service forms groups.
     pub(crate) fn engine(&self) -> Option<&Engine> {
         self.catalog.find_service(&self.service).and_then(|service| service.engine.as_ref())
     }
 
-    /// Whether the time it had is over: nobody waits for an answer, and no runner may be
-    /// given a time that is not there.
-    pub fn is_over(&self, node: &Node) -> bool {
-        node.now() >= self.end
+    /// Whether the deadline has passed. The caller has stopped waiting then, and no runner may be
+    /// sent a time that does not exist.
+    pub fn is_expired(&self, node: &Node) -> bool {
+        node.now() >= self.deadline
     }
 
-    /// For how long its caller waits from now on; none if that is not said.
-    pub fn patience(&self, now: Millis) -> Option<Millis> {
+    /// Returns how long the caller still waits; none if the caller did not say.
+    pub fn remaining_time(&self, now: Millis) -> Option<Millis> {
         self.terms.timeout.map(|wait| (self.arrived + wait).since(now))
     }
 
-    /// The caller's id of the request, for the log.
+    /// Returns the caller's id of the request, for the log.
     pub fn id(&self) -> &str {
         self.terms.request_id.as_deref().unwrap_or("-")
     }
 }
 
-/// Why a try gave no answer.
+/// Why an attempt gave no answer.
 #[derive(Debug, Error)]
 pub enum AttemptError {
-    /// No connection was made: nothing reached the runner.
+    /// No connection was made, or nothing was sent on it: the request did not reach the runner.
     #[error("not run: {0}")]
     Unreached(String),
-    /// The runner surely did not run it.
+    /// The runner certainly did not run the request.
     #[error("not run: {0}")]
     NotRun(String),
-    /// The runner had no place for it, and did not run it. It may have said for how long it
-    /// wants nothing from this node.
-    #[error("not run: no place{}", show_backoff(.0))]
-    Full(Option<Millis>),
-    /// It may have run there.
+    /// The runner rejected the request for lack of a free slot, and did not run it. It may have
+    /// named a backoff, which is for how long this node sends it nothing.
+    #[error("not run: no place{}", format_backoff(.0))]
+    Rejected(Option<Millis>),
+    /// The request may have run.
     #[error("may have run: {0}")]
     MayHaveRun(String),
-    /// The same, and the connection broke: the runner may have ended.
+    /// The request may have run, and the connection broke: the runner may have crashed.
     #[error("may have run: {0}")]
     Broken(String),
-    /// The same, and nothing was heard of the runner for long.
+    /// The request may have run, and the runner sent nothing for too long.
     #[error("may have run: {0}")]
     Silent(String),
-    /// It was found to end runners while it was under way.
+    /// The request was found to crash runners while it was in flight.
     #[error("may have run: it is found to end the runners that run it")]
     Stopped,
 }
@@ -115,34 +115,34 @@
             | AttemptError::Broken(_)
             | AttemptError::Silent(_)
             | AttemptError::Stopped => true,
-            AttemptError::Unreached(_) | AttemptError::NotRun(_) | AttemptError::Full(_) => false,
+            AttemptError::Unreached(_) | AttemptError::NotRun(_) | AttemptError::Rejected(_) => false,
         }
     }
 
-    /// Whether the request reached the runner: only then does sending it again count
-    /// as a retry, which has to be paid for.
-    pub fn has_arrived(&self) -> bool {
+    /// Whether the request reached the runner. Only then does sending it again count as a retry and
+    /// use the retry budget.
+    pub fn has_reached_runner(&self) -> bool {
         !matches!(self, AttemptError::Unreached(_))
     }
 
-    /// The reason as the figures name it.
+    /// Returns the reason as a metric label.
     pub fn reason(&self) -> &'static str {
         match self {
             AttemptError::Unreached(_) => "unreached",
             AttemptError::NotRun(_) => "not_run",
-            AttemptError::Full(None) => "full",
-            AttemptError::Full(Some(_)) => "backoff",
+            AttemptError::Rejected(None) => "full",
+            AttemptError::Rejected(Some(_)) => "backoff",
             AttemptError::MayHaveRun(_) | AttemptError::Broken(_) | AttemptError::Silent(_) => "may_have_run",
             AttemptError::Stopped => "stopped",
         }
     }
 }
 
-fn show_backoff(backoff: &Option<Millis>) -> String {
+fn format_backoff(backoff: &Option<Millis>) -> String {
     backoff.map_or(String::new(), |backoff| format!(", it wants no request for {backoff}"))
 }
 
-/// A try that got the head of an answer.
+/// An attempt that received the head of an answer.
 pub struct Attempt {
     /// The runner.
     pub pick: Pick,
@@ -150,32 +150,32 @@
     pub response: Response<Incoming>,
     /// Keeps the connection open.
     pub channel: Channel,
-    /// Keeps the runner's count.
-    pub counted: Attempting,
+    /// Counts the attempt as in flight at the runner.
+    pub guard: AttemptGuard,
 }
 
-/// A runner to try.
+/// A runner that was picked for an attempt.
 #[derive(Clone, Debug)]
 pub struct Pick {
-    /// Its id.
+    /// The runner's id.
     pub id: id::Runner,
-    /// Where it listens.
+    /// The address that it listens at.
     pub address: SocketAddr,
-    /// In which life it was picked, where that is told.
-    pub life: Option<Incarnation>,
-    /// The release of its software, where that is told.
+    /// The runner's incarnation when it was picked, if known.
+    pub incarnation: Option<Incarnation>,
+    /// The release of the runner's software, if known.
     pub release: Option<Release>,
     /// When it was picked.
-    pub at: Millis,
-    /// The data hall it stands in.
+    pub picked_at: Millis,
+    /// The data hall that it is in.
     pub hall: id::Hall,
-    /// The group it heads, if the request goes to one.
+    /// The group it is the head of, if the request goes to a group.
     pub group: Option<(id::Group, Epoch)>,
 }
 
 impl Pick {
-    /// Waits until the group is given up without finishing what it has; forever
-    /// if that does not happen.
+    /// Waits until the group is retired with its requests unfinished, or is in no plan any more.
+    /// Waits forever if that does not happen.
     pub async fn wait_lost(&self, node: &Node) {
         let Some((name, epoch)) = &self.group else { return std::future::pending().await };
         let mut changes = node.plans_changed.subscribe();
@@ -190,15 +190,15 @@
     }
 }
 
-/// Sends the request to a runner and waits for the head of the answer.
-/// `last_event` is where a stream goes on.
+/// Sends the request to a runner and waits for the head of the answer. `last_event` is the event
+/// after which a stream is resumed.
 pub async fn send(
     node: &Arc<Node>,
     job: &Job,
     pick: &Pick,
     last_event: Option<u64>,
 ) -> Result<Attempt, AttemptError> {
-    let counted = node.begin_attempt(&pick.id);
+    let guard = node.begin_attempt(&pick.id);
     let opened = Channel::open(pick.address).await;
     let mut channel = opened.map_err(|error| {
         let mut ledger = node.ledger.lock();
@@ -209,12 +209,13 @@
         AttemptError::Unreached(error.to_string())
     })?;
     node.ledger.lock().record_connect(&pick.hall);
-    // Of many requests under way when it says so, those that have not reached it stay here.
-    if backoff::is_unwilling(node, &pick.id, pick.life) {
+    // The runner may have announced a backoff while this connection was made: of many requests in
+    // flight at that time, those that have not reached the runner are not sent.
+    if backoff::is_backing_off(node, &pick.id, pick.incarnation) {
         return Err(AttemptError::Unreached("it wants no requests at present".to_owned()));
     }
-    let request = write_request(node, job, pick, last_event);
-    let asked = node.now();
+    let request = build_request(node, job, pick, last_event);
+    let sent_at = node.now();
     let response = match channel.send(request).await {
         Ok(response) => response,
         Err(error @ (ChannelError::Broken(_) | ChannelError::Connect(_))) => {
@@ -224,21 +225,21 @@
     };
     let status = response.status().as_u16();
     if header::is_leaving(status, response.headers()) {
-        node.record_leaving(&pick.id, pick.life);
+        node.record_leaving(&pick.id, pick.incarnation);
     }
-    let backoff = backoff::note(node, &pick.id, pick.life, status, response.headers());
+    let backoff = backoff::record(node, &pick.id, pick.incarnation, status, response.headers());
     let verdict = header::read_verdict(status, response.headers(), job.terms.request_id.as_deref());
     if header::is_from_expected(status) && verdict != Verdict::Foreign {
-        throttle::note(node, pick, asked, response.headers());
+        throttle::note(node, pick, sent_at, response.headers());
     }
-    let attempt = Attempt { pick: pick.clone(), response, channel, counted };
+    let attempt = Attempt { pick: pick.clone(), response, channel, guard };
     match verdict {
         Verdict::Ran => Ok(attempt),
         Verdict::Rejected => {
             if backoff.is_none() {
                 node.ledger.lock().record_rejection(&pick.id, node.now());
             }
-            Err(AttemptError::Full(backoff))
+            Err(AttemptError::Rejected(backoff))
         }
         Verdict::NotRun => Err(AttemptError::NotRun(format!("it answered {status}"))),
         Verdict::Foreign => {
@@ -251,7 +252,7 @@
     }
 }
 
-fn write_request(node: &Node, job: &Job, pick: &Pick, last_event: Option<u64>) -> Request<Full<Bytes>> {
+fn build_request(node: &Node, job: &Job, pick: &Pick, last_event: Option<u64>) -> Request<Full<Bytes>> {
     let mut request = Request::new(Full::new(job.body.clone()));
     *request.method_mut() = job.head.method.clone();
     *request.uri_mut() = job.head.uri.clone();
@@ -259,7 +260,7 @@
         runner: &pick.id,
         account: job.account.as_ref(),
         priority: job.priority,
-        timeout: job.terms.timeout.map(|_| job.end.since(node.now())),
+        timeout: job.terms.timeout.map(|_| job.deadline.since(node.now())),
         last_event_id: last_event,
     };
     *request.headers_mut() = header::write_forward_headers(&job.head.headers, &forward);
--- a/crates/node/src/dispatch.rs
+++ b/crates/node/src/dispatch.rs
@@ -1,4 +1,5 @@
-//! Asking the collector of the hall which group takes a request, and answering as one.
+//! Asks the hall's collector which group takes a request, and answers such queries as the
+//! collector.
 
 use std::sync::Arc;
 
@@ -17,89 +18,95 @@
 use crate::state::Node;
 use crate::throttle;
 
-/// How long the collector may take to answer: it answers within a few milliseconds, and
-/// without it the node chooses by itself.
-pub(crate) const ANSWER: Millis = Millis(40);
+/// How long a node waits for the collector, which answers within a few milliseconds. After that the
+/// node picks a runner itself.
+pub(crate) const COLLECTOR_TIMEOUT: Millis = Millis(40);
 
-/// A collector that did not answer is not asked for this long.
-const AVOID: Millis = Millis(1000);
+/// How long a collector that did not answer is not asked again.
+const COLLECTOR_AVOID_TIME: Millis = Millis(1000);
 
-/// First events kept until the next question, for the node may have nobody to ask.
-const SAMPLES: usize = 32;
+/// The most samples kept until the next query: there may be no collector to send them to.
+const MAX_SAMPLES: usize = 32;
 
-/// Notes how long the first event of a request took that went where it was told to.
-pub fn note_first(node: &Node, job: &Job, promise: Assignment, took: Millis) {
-    let (service, Some(model)) = job.lane() else { return };
-    let later = took.0 as i64 - promise.expected as i64;
+/// Records the delay of the first event of a request that followed its assignment, compared with
+/// the expected delay.
+pub fn record_first_event(node: &Node, job: &Job, assignment: Assignment, delay: Millis) {
+    let (service, Some(model)) = job.model_key() else { return };
+    let later = delay.0 as i64 - assignment.expected as i64;
     let mut samples = node.samples.lock();
-    if samples.len() < SAMPLES {
+    if samples.len() < MAX_SAMPLES {
         samples.push(Sample { service, model, later });
     }
 }
 
-/// Asks which group takes a request that is not to go to those in `tried`. None where
-/// there is nobody to ask, or the request is for no model that operators named.
-pub async fn ask(node: &Arc<Node>, job: &Job, urgency: Urgency, tried: &[id::Runner]) -> Option<Reply> {
-    let (_, model) = job.lane();
+/// Asks which group takes a request, leaving out the groups of the runners in `tried`. Returns none
+/// if there is no collector, it does not answer, or the request's model is not configured.
+pub async fn query_collector(
+    node: &Arc<Node>,
+    job: &Job,
+    urgency: Urgency,
+    tried: &[id::Runner],
+) -> Option<Reply> {
+    let (_, model) = job.model_key();
     let settings = node.settings();
-    let question = Query {
+    let query = Query {
         report: write_report(node, Scope::Node, node.sum_in_flight()),
         service: job.service.clone(),
         model: model?,
         prompt: job.terms.prompt_tokens.unwrap_or(0),
         urgency,
-        patience: job.patience(node.now()),
+        patience: job.remaining_time(node.now()),
         tried: list_epochs(node, tried),
         unwilling: node.list_unwilling(),
         fingerprint: job.fingerprint,
         samples: std::mem::take(&mut *node.samples.lock()),
     };
-    let collector = find_asked(node)?;
+    let collector = find_available_collector(node)?;
     if collector.node == settings.node {
-        return Some(choose(node, &question));
+        return Some(choose_group(node, &query));
     }
-    match peer::ask_group(node, &collector, &question, ANSWER).await {
+    match peer::ask_group(node, &collector, &query, COLLECTOR_TIMEOUT).await {
         Ok(reply) => Some(reply),
         Err(error) => {
-            log::info!("request {}: {} does not choose a group: {error}", job.id(), collector.node);
-            avoid(node, collector);
+            log::info!("request {}: collector {} did not choose a group: {error}", job.id(), collector.node);
+            avoid_collector(node, collector);
             None
         }
     }
 }
 
-/// The collector that this node asks.
-pub(crate) fn find_asked(node: &Node) -> Option<Peer> {
+/// Returns the collector that this node asks.
+pub(crate) fn find_available_collector(node: &Node) -> Option<Peer> {
     let hall = &node.settings().hall;
     let mut avoided = node.unanswering.lock();
     avoided.forget(node.now());
     find_collector(node, hall, &avoided)
 }
 
-/// A collector did not answer a question and is not asked for a while.
-pub(crate) fn avoid(node: &Node, collector: Peer) {
-    node.unanswering.lock().add(collector.node, node.now() + AVOID);
+/// Stops asking a collector for a while, because it did not answer a query.
+pub(crate) fn avoid_collector(node: &Node, collector: Peer) {
+    node.unanswering.lock().add(collector.node, node.now() + COLLECTOR_AVOID_TIME);
 }
 
 fn list_epochs(node: &Node, runners: &[id::Runner]) -> Vec<Epoch> {
     let roster = node.roster.lock();
-    let epoch = |id: &id::Runner| Some(roster.get_last_known(id)?.membership.as_ref()?.epoch);
-    runners.iter().filter_map(epoch).collect()
+    let find_epoch = |id: &id::Runner| Some(roster.get_last_known(id)?.membership.as_ref()?.epoch);
+    runners.iter().filter_map(find_epoch).collect()
 }
 
-/// As the collector, takes in what the asking node has in flight and chooses a group.
-pub fn take(node: &Node, question: Query) -> Reply {
-    collect::note(node, question.report.clone());
-    let reply = choose(node, &question);
-    if let Reply::Take(promise) = reply {
-        node.reports.lock().begin_request(&question.report.node, promise.epoch);
+/// As the collector, records the in-flight report of the asking node and chooses a group.
+pub fn answer_query(node: &Node, query: Query) -> Reply {
+    collect::note(node, query.report.clone());
+    let reply = choose_group(node, &query);
+    if let Reply::Take(assignment) = reply {
+        node.reports.lock().begin_request(&query.report.node, assignment.epoch);
     }
     reply
 }
 
-/// The halls whose nodes do not tell this one what they have in flight; none if too many
-/// nodes of this hall do not either.
-fn list_silent(node: &Node, hall: &id::Hall, now: Millis) -> Option<Vec<id::Hall>> {
+/// Returns the halls from which this node receives no in-flight reports; none if too few nodes of
+/// its own hall report.
+fn list_silent_halls(node: &Node, hall: &id::Hall, now: Millis) -> Option<Vec<id::Hall>> {
     let directory = node.directory.lock();
     let reports = node.reports.lock();
     let nodes = directory.list_collectors(hall).len();
@@ -110,30 +117,30 @@
     Some(others.filter(|other| !reports.has_report_from(other, now)).cloned().collect())
 }
 
-fn choose(node: &Node, question: &Query) -> Reply {
-    if question.urgency != Urgency::Again {
-        retries::earn_pooled(node);
+fn choose_group(node: &Node, query: &Query) -> Reply {
+    if query.urgency != Urgency::Again {
+        retries::deposit_pooled(node);
     }
     let Some(catalog) = node.catalog.lock().clone() else { return Reply::Unknown };
-    let engine = catalog.find_service(&question.service).and_then(|service| service.engine.as_ref());
+    let engine = catalog.find_service(&query.service).and_then(|service| service.engine.as_ref());
     let Some(engine) = engine else { return Reply::Unknown };
-    let Some(model) = engine.models.iter().find(|model| model.name == question.model) else {
+    let Some(model) = engine.models.iter().find(|model| model.name == query.model) else {
         return Reply::Unknown;
     };
-    let own = node.sum_in_flight();
+    let own_in_flight = node.sum_in_flight();
     let (settings, now) = (node.settings(), node.now());
-    let Some(silent) = list_silent(node, &settings.hall, now) else { return Reply::Unknown };
+    let Some(silent) = list_silent_halls(node, &settings.hall, now) else { return Reply::Unknown };
     let roster = node.roster.lock();
-    let heads = roster.list_heads(&question.service, &question.model, &node.plans.lock());
-    let loads = node.reports.lock().sum_loads(&own, now);
-    let sound = {
+    let heads = roster.list_heads(&query.service, &query.model, &node.plans.lock());
+    let loads = node.reports.lock().sum_loads(&own_in_flight, now);
+    let healthy = {
         let ledger = node.ledger.lock();
-        heads.iter().filter(|head| ledger.is_healthy(head, now) && question.allows_head(head)).count()
+        heads.iter().filter(|head| ledger.is_healthy(head, now) && query.allows_head(head)).count()
     };
-    let ruling = rule(node, question, sound, now);
+    let ruling = decide_ruling(node, query, healthy, now);
     let trials = match ruling {
         Ruling::Run => Vec::new(),
-        Ruling::Trial => node.trials.lock().list_trial_groups(&question.fingerprint, now),
+        Ruling::Trial => node.trials.lock().list_trial_groups(&query.fingerprint, now),
         Ruling::Quarantine => return Reply::Held,
         Ruling::Reject => return Reply::Deadly,
     };
@@ -149,26 +156,26 @@
     };
     let load = |epoch: Epoch| loads.get(&epoch).copied().unwrap_or(Load::default());
     let mut dispatcher = node.dispatcher.lock();
-    for sample in &question.samples {
+    for sample in &query.samples {
         dispatcher.record_sample(sample);
     }
-    let Selection { reply, best } = dispatcher.choose(&choice, question, load, now, &mut rand::rng());
+    let Selection { reply, best } = dispatcher.choose(&choice, query, load, now, &mut rand::rng());
     throttle::note_choice(node, &heads, reply, best, now);
     if let Reply::Throttled(soonest) = reply {
-        let wait = throttle::plan_return(node, question, &limited, now);
+        let wait = throttle::plan_return(node, query, &limited, now);
         return Reply::Throttled(wait.map_or(soonest, |wait| wait.0));
     }
-    if let (Ruling::Trial, Reply::Take(promise)) = (ruling, reply) {
-        node.trials.lock().start(question.fingerprint, Some(promise.epoch), now);
+    if let (Ruling::Trial, Reply::Take(assignment)) = (ruling, reply) {
+        node.trials.lock().start(query.fingerprint, Some(assignment.epoch), now);
     }
     reply
 }
 
-/// What becomes of a request that a node asks for, as far as this hall knows.
-fn rule(node: &Node, question: &Query, groups: usize, now: Millis) -> Ruling {
-    let takers = node.usual.lock().record(&question.service, Some(&question.model), groups, now);
-    let level = node.suspects.lock().level(&question.fingerprint);
+/// Decides whether a request may run, by what this hall knows of the crashes under it.
+fn decide_ruling(node: &Node, query: &Query, groups: usize, now: Millis) -> Ruling {
+    let capacity = node.usual.lock().record(&query.service, Some(&query.model), groups, now);
+    let level = node.suspects.lock().level(&query.fingerprint);
     let mut trials = node.trials.lock();
-    trials.finish_at(&question.fingerprint, &question.tried);
-    trials.decide(&question.fingerprint, level, takers, now)
+    trials.finish_at(&query.fingerprint, &query.tried);
+    trials.decide(&query.fingerprint, level, capacity, now)
 }
--- a/crates/node/src/request.rs
+++ b/crates/node/src/request.rs
@@ -1,4 +1,4 @@
-//! Admitting a request and finding where it goes.
+//! Admits a caller's request, picks its route and runs it.
 
 use std::sync::Arc;
 
@@ -16,37 +16,37 @@
 
 use crate::answer::{Answer, Refusal};
 use crate::attempt::Job;
-use crate::candidates::refuse_unwilling;
-use crate::flight::Running;
+use crate::candidates::refuse_if_backing_off;
+use crate::in_flight::RequestGuard;
 use crate::state::Node;
 use crate::{figures, plain, stream, suspects};
 
-/// The urgency of a request where neither account nor route says one.
-const PRIORITY_MAX: u8 = 9;
+/// The largest priority number that a runner is sent. 0 is the most urgent.
+const MAX_PRIORITY: u8 = 9;
 
-/// A request that comes while the node starts waits for this long for what the store
-/// holds. That is read 20 to 60 ms after the start; callers who were sent away came
-/// back too late to be answered in time.
-const START: Millis = Millis(150);
+/// How long a request waits for a node that is starting to read the store. The read completes 20 to
+/// 60 ms after the start. Callers that were refused instead retried too late to be answered in
+/// time.
+const STARTUP_WAIT: Millis = Millis(150);
 
-/// How long a request waits whose caller and route say nothing.
-const WAIT_UNSET: Millis = Millis(30_000);
+/// How long a caller waits that does not say so. The timeout of the route applies as well.
+const DEFAULT_CALLER_WAIT: Millis = Millis(30_000);
 
-/// Answers one request.
-pub async fn answer(node: Arc<Node>, request: Request<Incoming>) -> Answer {
+/// Handles one request of a caller.
+pub async fn handle(node: Arc<Node>, request: Request<Incoming>) -> Answer {
     let (head, body) = request.into_parts();
     let terms = header::read_metadata(&head.headers);
     let id = terms.request_id.clone();
-    let running = node.begin_request();
+    let request_guard = node.begin_request();
     let arrived = node.now();
     let mut kind = "none";
     let outcome = match admit(&node, head, body, terms).await {
         Ok(job) => {
             kind = job.route.kind.name();
-            let end = job.end;
+            let deadline = job.deadline;
             tokio::select! {
-                outcome = run(&node, Arc::new(job), running) => outcome,
-                () = node.wait_until(end) => Err(Refusal::Late),
+                outcome = run(&node, Arc::new(job), request_guard) => outcome,
+                () = node.wait_until(deadline) => Err(Refusal::DeadlineExceeded),
             }
         }
         Err(refusal) => Err(refusal),
@@ -60,12 +60,12 @@
         }
         Err(refusal) => {
             log_refusal(&node, id.as_deref(), kind, waited, &refusal);
-            refusal.answer(id.as_deref())
+            refusal.to_answer(id.as_deref())
         }
     }
 }
 
-/// Says why a request was refused, and what this node knew then.
+/// Logs why a request was refused, with the state of the configuration at that time.
 fn log_refusal(node: &Node, id: Option<&str>, kind: &str, waited: Millis, refusal: &Refusal) {
     let id = id.unwrap_or("-");
     let version = node.catalog.lock().as_ref().map_or(0, |catalog| catalog.version);
@@ -75,16 +75,16 @@
     );
 }
 
-async fn run(node: &Arc<Node>, job: Arc<Job>, running: Running) -> Result<Answer, Refusal> {
+async fn run(node: &Arc<Node>, job: Arc<Job>, request_guard: RequestGuard) -> Result<Answer, Refusal> {
     node.retries.lock().deposit();
     if suspects::is_deadly(node, &job) {
         return Err(Refusal::Deadly);
     }
-    if let Some(refusal) = refuse_unwilling(node, &job) {
+    if let Some(refusal) = refuse_if_backing_off(node, &job) {
         return Err(refusal);
     }
     match job.route.kind {
-        Kind::Stream => stream::run(node, job, running).await,
+        Kind::Stream => stream::run(node, job, request_guard).await,
         Kind::Idempotent | Kind::Once => plain::run(node, &job).await,
     }
 }
@@ -96,23 +96,23 @@
     terms: RequestMetadata,
 ) -> Result<Job, Refusal> {
     let arrived = node.now();
-    node.wait_synced(START).await;
-    let catalog = node.catalog.lock().clone().ok_or(Refusal::Unsure)?;
+    node.wait_synced(STARTUP_WAIT).await;
+    let catalog = node.catalog.lock().clone().ok_or(Refusal::StaleConfig)?;
     let body = read_body(body, catalog.limits.max_body_bytes).await?;
-    let route = find_route(&catalog, &head).map_err(|refusal| verify(node, refusal))?;
+    let route = find_route(&catalog, &head).map_err(|refusal| replace_if_stale(node, refusal))?;
     let account = match route.allow_anonymous || !catalog.has_accounts() {
         true => None,
         false => {
             if !node.trusts_keys() {
-                return Err(Refusal::Unsure);
+                return Err(Refusal::StaleConfig);
             }
-            let key = terms.api_key.as_deref().ok_or(Refusal::Key)?;
-            Some(catalog.find_account(key).ok_or_else(|| verify(node, Refusal::Key))?)
+            let key = terms.api_key.as_deref().ok_or(Refusal::UnknownKey)?;
+            Some(catalog.find_account(key).ok_or_else(|| replace_if_stale(node, Refusal::UnknownKey))?)
         }
     };
-    let priority = account.and_then(|account| account.priority).unwrap_or(route.priority).min(PRIORITY_MAX);
+    let priority = account.and_then(|account| account.priority).unwrap_or(route.priority).min(MAX_PRIORITY);
     let target = route.pick_target(rand::rng().random()).ok_or(Refusal::NoRoute)?;
-    let wait = terms.timeout.unwrap_or(WAIT_UNSET).min(route.timeout);
+    let wait = terms.timeout.unwrap_or(DEFAULT_CALLER_WAIT).min(route.timeout);
     let fingerprint = Fingerprint::of(&fingerprint::Request {
         account: account.map(|account| &account.id),
         method: head.method.as_str(),
@@ -130,14 +130,15 @@
         priority,
         fingerprint,
         arrived,
-        end: arrived + wait,
+        deadline: arrived + wait,
     })
 }
 
-/// What a refusal for want of a route or a key becomes where a newer configuration may
-/// have it: the caller may come back, and others may know.
-fn verify(node: &Node, refusal: Refusal) -> Refusal {
-    if node.knows_catalog() { refusal } else { Refusal::Unsure }
+/// Returns [`Refusal::StaleConfig`] in place of a refusal for an unknown route or key if a newer
+/// configuration may have it. Then the caller may retry, and another node may know the route or
+/// key.
+fn replace_if_stale(node: &Node, refusal: Refusal) -> Refusal {
+    if node.knows_catalog() { refusal } else { Refusal::StaleConfig }
 }
 
 fn find_route(catalog: &Catalog, head: &Parts) -> Result<Arc<Route>, Refusal> {
@@ -150,6 +151,6 @@
     match Limited::new(body, max).collect().await {
         Ok(collected) => Ok(collected.to_bytes()),
         Err(error) if error.is::<http_body_util::LengthLimitError>() => Err(Refusal::TooLarge),
-        Err(_) => Err(Refusal::Body),
+        Err(_) => Err(Refusal::BrokenBody),
     }
 }
--- a/crates/node/src/retries.rs
+++ b/crates/node/src/retries.rs
@@ -1,5 +1,5 @@
-//! Paying for requests that are sent again: from what this node has saved up, or else with a
-//! retry that the collector of its hall lends.
+//! Pays for sending requests again: from this node's own retry budget, or else with a retry that
+//! the hall's collector grants from the shared pool.
 
 use std::sync::Arc;
 
@@ -8,85 +8,86 @@
 use serde::{Deserialize, Serialize};
 
 use crate::attempt::Job;
-use crate::dispatch::{ANSWER, avoid, find_asked};
+use crate::dispatch::{COLLECTOR_TIMEOUT, avoid_collector, find_available_collector};
 use crate::figures;
 use crate::peer;
 use crate::state::Node;
 
-/// Of the fleet's retries so much is spent: requests that arrive twice by other ways count in the
-/// rest.
-const SPENT: f64 = 0.8;
+/// The fraction of the fleet's allowed retries that is used. The rest covers requests that arrive
+/// twice in other ways.
+const BUDGET_FRACTION: f64 = 0.8;
 
-/// A question for a retry.
+/// Asks the collector for one retry.
 #[derive(Serialize, Deserialize)]
-pub(crate) struct Loan {
+pub(crate) struct Query {
     /// The node that asks.
     pub(crate) node: id::Node,
 }
 
-/// What falls to one node of the retries that the fleet may save up.
-fn share(node: &Node) -> Share {
-    Share::of(node.settings().bounds.retry_slack * SPENT, node.directory.lock().count())
+/// Returns this node's share of the retries that the fleet may accumulate.
+fn compute_share(node: &Node) -> Share {
+    Share::of(node.settings().bounds.retry_slack * BUDGET_FRACTION, node.directory.lock().count())
 }
 
-/// How many retries one request pays for.
-fn earned(node: &Node) -> f64 {
-    node.settings().bounds.retry_ratio * SPENT
+/// Returns how many retries one request pays for.
+fn compute_ratio(node: &Node) -> f64 {
+    node.settings().bounds.retry_ratio * BUDGET_FRACTION
 }
 
-/// Takes this node's share of the retries that the fleet may save up.
-pub(crate) fn take_share(node: &Node) {
-    let share = share(node);
+/// Sets this node's retry budget to its share of what the fleet may accumulate.
+pub(crate) fn update_budget(node: &Node) {
+    let share = compute_share(node);
     let mut retries = node.retries.lock();
-    retries.set_ratio(earned(node) * share.budget_fraction());
+    retries.set_ratio(compute_ratio(node) * share.budget_fraction());
     retries.set_capacity(share.budget);
 }
 
-/// As the collector, keeps what is left over of the shares of the nodes that report to this one.
-pub(crate) fn keep_pool(node: &Node) {
+/// As the collector, sets the size of the pool to the rest of the shares of the nodes that report
+/// to this one.
+pub(crate) fn update_pool(node: &Node) {
     let now = node.now();
     let nodes = node.reports.lock().count_nodes(now) + 1;
     let window = node.settings().bounds.retry_window;
-    node.pool.lock().set_capacity(share(node).pooled * nodes as f64, window, now);
+    node.pool.lock().set_capacity(compute_share(node).pooled * nodes as f64, window, now);
 }
 
-/// As the collector, takes in that a request of its hall has come.
-pub(crate) fn earn_pooled(node: &Node) {
-    let part = earned(node) * (1.0 - share(node).budget_fraction());
-    node.pool.lock().deposit(part);
+/// As the collector, credits the pool for a request of its hall.
+pub(crate) fn deposit_pooled(node: &Node) {
+    let deposit = compute_ratio(node) * (1.0 - compute_share(node).budget_fraction());
+    node.pool.lock().deposit(deposit);
 }
 
-/// As the collector, lends a retry.
-pub(crate) fn lend(node: &Node, loan: &Loan) -> bool {
-    let lent = node.pool.lock().grant();
-    if !lent {
-        log::info!("retries: {} gets none, all of the hall are spent", loan.node);
+/// As the collector, grants a retry if the pool has one.
+pub(crate) fn grant(node: &Node, query: &Query) -> bool {
+    let granted = node.pool.lock().grant();
+    if !granted {
+        log::info!("retries: {} gets none, the pool of the hall is empty", query.node);
     }
-    figures::count_loan(lent);
-    lent
+    figures::count_loan(granted);
+    granted
 }
 
-/// Pays for sending a request again; false if it is not allowed.
+/// Pays for sending a request again. Returns false if that is not allowed.
 pub(crate) async fn spend(node: &Arc<Node>, job: &Job) -> bool {
     if node.retries.lock().withdraw() {
         return true;
     }
-    let Some(collector) = find_asked(node) else { return refuse(job, "nobody lends one") };
-    let loan = Loan { node: node.settings().node.clone() };
-    let lent = match collector.node == loan.node {
-        true => lend(node, &loan),
-        false => match peer::ask_loan(node, &collector, &loan, ANSWER).await {
-            Ok(lent) => lent,
+    let Some(collector) = find_available_collector(node) else { return deny(job, "no collector to ask") };
+    let query = Query { node: node.settings().node.clone() };
+    let granted = match collector.node == query.node {
+        true => grant(node, &query),
+        false => match peer::ask_loan(node, &collector, &query, COLLECTOR_TIMEOUT).await {
+            Ok(granted) => granted,
             Err(error) => {
-                avoid(node, collector);
-                return refuse(job, &error.to_string());
+                avoid_collector(node, collector);
+                return deny(job, &error.to_string());
             }
         },
     };
-    lent || refuse(job, "the retries are spent")
+    granted || deny(job, "the retry budget is spent")
 }
 
-fn refuse(job: &Job, why: &str) -> bool {
-    log::info!("request {}: not sent again: {why}", job.id());
+fn deny(job: &Job, reason: &str) -> bool {
+    log::info!("request {}: not sent again: {reason}", job.id());
     false
 }
--- /dev/null
+++ b/crates/node/src/runner_stream.rs
@@ -0,0 +1,116 @@
+//! The stream that a runner sends, and how long the runner may send nothing.
+
+use bytes::Bytes;
+use cottoncrank::Millis;
+use cottoncrank_fleet::event::Splitter;
+use http_body_util::BodyExt;
+use hyper::Response;
+use hyper::body::Incoming;
+use hyper::http::response;
+
+use crate::attempt::{Attempt, AttemptError, Job, Pick};
+use crate::channel::Channel;
+use crate::in_flight::AttemptGuard;
+use crate::state::Node;
+use crate::suspects::wait_deadly;
+
+/// A runner that sends nothing for this long is abandoned. All nodes learn sooner than that of a
+/// group that lost a member, and a group that is only busy must not get the same requests twice.
+/// Callers give up after two seconds.
+pub const SILENCE_TIMEOUT: Millis = Millis(1200);
+
+/// A stream in flight at one runner.
+pub struct RunnerStream {
+    /// The runner.
+    pub pick: Pick,
+    body: Incoming,
+    /// Splits the stream into events, and knows the last event forwarded.
+    pub splitter: Splitter,
+    _channel: Channel,
+    guard: AttemptGuard,
+}
+
+/// What a stream yields next.
+pub enum StreamItem {
+    /// One or more whole events.
+    Events(Bytes),
+    /// The end of the stream.
+    End,
+}
+
+impl RunnerStream {
+    /// Opens the body of an answer as a stream that yields the events after `last_event`. Returns
+    /// the head as well.
+    pub fn open(attempt: Attempt, last_event: Option<u64>) -> (response::Parts, RunnerStream) {
+        let (head, body) = Response::into_parts(attempt.response);
+        let splitter = Splitter::resume_after(last_event);
+        let (pick, guard) = (attempt.pick, attempt.guard);
+        (head, RunnerStream { pick, body, splitter, _channel: attempt.channel, guard })
+    }
+}
+
+/// Waits for a result from a runner, as long as its group is not lost. After [`SILENCE_TIMEOUT`] it
+/// also gives up if the request may be repeated and the runner has sent nothing to any request of
+/// this node since `started`.
+pub async fn wait_unless_unresponsive<T>(
+    node: &Node,
+    job: &Job,
+    pick: &Pick,
+    started: Millis,
+    waiting: impl Future<Output = Result<T, AttemptError>>,
+) -> Result<T, AttemptError> {
+    tokio::pin!(waiting);
+    let group_lost = pick.wait_lost(node);
+    tokio::pin!(group_lost);
+    let deadly = wait_deadly(node, job);
+    tokio::pin!(deadly);
+    loop {
+        tokio::select! {
+            outcome = &mut waiting => return outcome,
+            () = &mut group_lost, if job.route.is_repeatable() => {
+                return Err(AttemptError::MayHaveRun("its group lost a member".to_owned()));
+            }
+            () = &mut deadly => return Err(AttemptError::Stopped),
+            () = tokio::time::sleep(SILENCE_TIMEOUT.duration()) => {
+                let mut ledger = node.ledger.lock();
+                if job.route.is_repeatable() && ledger.is_silent_since(&pick.id, started) {
+                    ledger.record_failure(&pick.id, node.now());
+                    return Err(AttemptError::Silent(format!("silent for {SILENCE_TIMEOUT}")));
+                }
+            }
+        }
+    }
+}
+
+/// Reads the first events of a stream.
+pub async fn read_first_events(
+    node: &Node,
+    job: &Job,
+    stream: &mut RunnerStream,
+) -> Result<StreamItem, AttemptError> {
+    let started = node.now();
+    let pick = stream.pick.clone();
+    wait_unless_unresponsive(node, job, &pick, started, read_next_events(node, stream)).await
+}
+
+/// Reads the next events that the caller does not have yet.
+pub async fn read_next_events(node: &Node, stream: &mut RunnerStream) -> Result<StreamItem, AttemptError> {
+    loop {
+        let frame = match stream.body.frame().await {
+            Some(Ok(frame)) => frame,
+            Some(Err(error)) => {
+                return Err(AttemptError::Broken(format!("the stream broke off: {error}")));
+            }
+            None if stream.splitter.is_at_boundary() => return Ok(StreamItem::End),
+            None => return Err(AttemptError::Broken("the stream ended within an event".to_owned())),
+        };
+        let Ok(piece) = frame.into_data() else { continue };
+        node.ledger.lock().record_progress(&stream.pick.id, node.now());
+        stream.guard.begin_stream();
+        let events =
+            stream.splitter.push(&piece).map_err(|error| AttemptError::MayHaveRun(error.to_string()))?;
+        if !events.is_empty() {
+            return Ok(StreamItem::Events(events));
+        }
+    }
+}
--- a/crates/node/src/stream.rs
+++ b/crates/node/src/stream.rs
@@ -1,8 +1,8 @@
-//! Requests whose answer is a stream of events.
+//! Runs requests whose answer is a stream of events.
 //!
-//! The head of the first runner's answer is passed on with its first event.
-//! From there the stream may go on at another runner, after the last whole
-//! event that the caller has, within the same answer.
+//! The head of the first runner's answer is forwarded with its first event. After that the stream
+//! may be resumed at another runner, after the last whole event that the caller has, within the
+//! same answer.
 
 use std::sync::Arc;
 
@@ -19,93 +19,96 @@
 use crate::attempt::Job;
 use crate::candidates::has_room;
 use crate::dispatch;
-use crate::flight::{Admitted, Running};
+use crate::in_flight::{LimitGuard, RequestGuard};
 use crate::plain;
 use crate::relay::Relay;
-use crate::source::{Next, Source, read_first};
+use crate::runner_stream::{RunnerStream, StreamItem, read_first_events};
 use crate::state::Node;
 use crate::suspects::record_completed;
 use crate::throttle;
-use crate::tries::{Tries, next_attempt, refuse_suspect};
+use crate::tries::{Tries, refuse_suspect, start_next_attempt};
 
-/// Events held for a caller that reads slowly.
-const FEED_DEPTH: usize = 8;
+/// The chunks buffered for a caller that reads slowly.
+const MAX_BUFFERED_CHUNKS: usize = 8;
 
-/// A request waits at this node for at most this part of the wanted time of its first
-/// event: places become free every few milliseconds, and four fifths of the time are
-/// left for the runner.
-const WAITS: u64 = 5;
+/// A request waits at this node for at most the target latency of its first event divided by this.
+/// Slots become free every few milliseconds, and the runner needs the other four fifths of the
+/// time.
+const QUEUE_WAIT_DIVISOR: u64 = 5;
 
-/// A stream that has begun.
-struct Begun {
+/// A stream whose first events have been received.
+struct StartedStream {
     head: response::Parts,
-    first: Bytes,
-    source: Source,
+    first_events: Bytes,
+    stream: RunnerStream,
     ended: bool,
 }
 
-/// What the first try that answered came to.
-enum Opening {
-    Stream(Box<Begun>),
+/// The answer of the first runner that gave one.
+enum FirstAnswer {
+    Stream(Box<StartedStream>),
     Whole(Answer),
 }
 
-/// Runs a request. The answer is given with the first event; the rest follows
-/// in a task of its own, which `running` counts.
-pub async fn run(node: &Arc<Node>, job: Arc<Job>, running: Running) -> Result<Answer, Refusal> {
-    let lane = job.lane();
-    let patience = Millis(job.route.target_latency.0 / WAITS);
-    let left = (job.arrived + job.route.target_latency).since(node.now());
-    let reply = dispatch::ask(node, &job, Urgency::Within(left.0), &[]).await;
+/// Runs a request. Returns the answer with the first event. A spawned task forwards the rest and
+/// holds `request_guard` until it ends.
+pub async fn run(node: &Arc<Node>, job: Arc<Job>, request_guard: RequestGuard) -> Result<Answer, Refusal> {
+    let model_key = job.model_key();
+    let max_wait = Millis(job.route.target_latency.0 / QUEUE_WAIT_DIVISOR);
+    let remaining = (job.arrived + job.route.target_latency).since(node.now());
+    let reply = dispatch::query_collector(node, &job, Urgency::Within(remaining.0), &[]).await;
     if let Some(refusal) = refuse_suspect(node, &job, reply) {
         return Err(refusal);
     }
     if let Some(Reply::Throttled(wait)) = reply {
         return Err(throttle::refuse(node, &job, Millis(wait)));
     }
-    let admitted = match reply {
-        Some(Reply::Take(_)) => Some(node.admit_chosen(&lane)),
+    let limit_guard = match reply {
+        Some(Reply::Take(_)) => Some(node.admit_assigned(&model_key)),
         Some(Reply::Full(_)) => None,
         None | Some(Reply::Unknown | Reply::Throttled(_) | Reply::Held | Reply::Deadly) => {
-            node.admit(&lane, patience, || has_room(node, &job)).await
+            node.admit(&model_key, max_wait, || has_room(node, &job)).await
         }
     };
     let wait = match reply {
         Some(Reply::Full(wait)) => Some(Millis(wait)),
         _ => None,
     };
-    let admitted = admitted.ok_or_else(|| Refusal::Full { running: node.count_running(&lane), wait })?;
-    let mut tries = Tries::choosing(reply);
-    let chosen = node.now();
-    let opened = open(node, &job, &mut tries).await;
-    if let (Ok(Opening::Stream(_)), [_], Some(promise)) = (&opened, &tries.tried[..], tries.promise) {
-        dispatch::note_first(node, &job, promise, node.now().since(chosen));
+    let limit_guard =
+        limit_guard.ok_or_else(|| Refusal::Full { running: node.count_running(&model_key), wait })?;
+    let mut tries = Tries::from_reply(reply);
+    let assigned_at = node.now();
+    let opened = open_stream(node, &job, &mut tries).await;
+    if let (Ok(FirstAnswer::Stream(_)), [_], Some(assignment)) = (&opened, &tries.tried[..], tries.assignment)
+    {
+        dispatch::record_first_event(node, &job, assignment, node.now().since(assigned_at));
     }
-    note_opening(node, &job, &tries, &admitted, opened.as_ref().err());
-    let begun = match opened? {
-        Opening::Stream(begun) => begun,
-        Opening::Whole(answer) => return Ok(answer),
+    update_limit(node, &job, &tries, &limit_guard, opened.as_ref().err());
+    let started = match opened? {
+        FirstAnswer::Stream(started) => started,
+        FirstAnswer::Whole(answer) => return Ok(answer),
     };
-    let (feed, receiver) = mpsc::channel(FEED_DEPTH);
-    let mut answer = Response::new(Body::Feed(receiver));
-    *answer.status_mut() = begun.head.status;
-    *answer.headers_mut() = header::strip_hop_by_hop(&begun.head.headers);
+    let (sender, receiver) = mpsc::channel(MAX_BUFFERED_CHUNKS);
+    let mut answer = Response::new(Body::Stream(receiver));
+    *answer.status_mut() = started.head.status;
+    *answer.headers_mut() = header::strip_hop_by_hop(&started.head.headers);
     answer.headers_mut().remove(CONTENT_LENGTH);
-    if feed.try_send(Ok(begun.first)).is_ok() && !begun.ended {
-        let relay = Relay::new(node.clone(), job, tries, feed, begun.source, (running, admitted));
+    if sender.try_send(Ok(started.first_events)).is_ok() && !started.ended {
+        let relay =
+            Relay::new(node.clone(), job, tries, sender, started.stream, (request_guard, limit_guard));
         tokio::spawn(relay.run());
     }
     Ok(answer)
 }
 
-/// Tells the limit how the first event came. A request that met a silent runner
-/// says nothing of how much the others have to do.
-fn note_opening(node: &Node, job: &Job, tries: &Tries, admitted: &Admitted, refusal: Option<&Refusal>) {
-    let first_try = tries.tried.len() == 1 && tries.sent == 0;
+/// Logs a late first event, and raises or lowers the concurrency limit by whether it was in time. A
+/// request that met an unresponsive runner says nothing about the load of the others.
+fn update_limit(node: &Node, job: &Job, tries: &Tries, limit_guard: &LimitGuard, refusal: Option<&Refusal>) {
+    let first_try = tries.tried.len() == 1 && tries.possible_runs == 0;
     let waited = node.now().since(job.arrived);
     let in_time = waited <= job.route.target_latency;
     if refusal.is_none() && !in_time {
-        let level = admitted.level();
+        let level = limit_guard.level();
         let (runner, count) = (tries.tried.last().map_or("-", id::Runner::as_str), tries.tried.len());
         log::info!(
             "request {}: late: first event after {waited}, wanted within {}, try {count} at {runner}, limit {level:.0}",
@@ -114,39 +117,41 @@
         );
     }
     match refusal {
-        None if first_try || tries.full > 0 => admitted.note_first(in_time && tries.full == 0),
-        Some(Refusal::NotRun) => admitted.note_first(false),
+        None if first_try || tries.rejections > 0 => {
+            limit_guard.record_first_event(in_time && tries.rejections == 0)
+        }
+        Some(Refusal::NotRun) => limit_guard.record_first_event(false),
         _ => {}
     }
 }
 
-/// Tries runners until one sends its first event.
-async fn open(node: &Arc<Node>, job: &Job, tries: &mut Tries) -> Result<Opening, Refusal> {
+/// Tries runners until one sends its first event or a whole answer.
+async fn open_stream(node: &Arc<Node>, job: &Job, tries: &mut Tries) -> Result<FirstAnswer, Refusal> {
     loop {
-        let last = job.terms.last_event_id;
-        let attempt = next_attempt(node, job, tries, last).await?;
+        let last_event = job.terms.last_event_id;
+        let attempt = start_next_attempt(node, job, tries, last_event).await?;
         if !attempt.response.status().is_success() {
-            match plain::read_whole(node, attempt).await {
+            match plain::read_answer(node, attempt).await {
                 Ok(answer) => {
                     record_completed(node, &job.fingerprint);
-                    return Ok(Opening::Whole(answer));
+                    return Ok(FirstAnswer::Whole(answer));
                 }
-                Err(error) => tries.note(node, job, &error).await,
+                Err(error) => tries.record_failure(node, job, &error).await,
             }
             continue;
         }
-        let (head, mut source) = Source::open(attempt, last);
-        match read_first(node, job, &mut source).await {
-            Ok(Next::Events(first)) => {
-                let begun = Begun { head, first, source, ended: false };
-                return Ok(Opening::Stream(Box::new(begun)));
+        let (head, mut stream) = RunnerStream::open(attempt, last_event);
+        match read_first_events(node, job, &mut stream).await {
+            Ok(StreamItem::Events(first_events)) => {
+                let started = StartedStream { head, first_events, stream, ended: false };
+                return Ok(FirstAnswer::Stream(Box::new(started)));
             }
-            Ok(Next::End) => {
+            Ok(StreamItem::End) => {
                 record_completed(node, &job.fingerprint);
-                let begun = Begun { head, first: Bytes::new(), source, ended: true };
-                return Ok(Opening::Stream(Box::new(begun)));
+                let started = StartedStream { head, first_events: Bytes::new(), stream, ended: true };
+                return Ok(FirstAnswer::Stream(Box::new(started)));
             }
-            Err(error) => tries.note(node, job, &error).await,
+            Err(error) => tries.record_failure(node, job, &error).await,
         }
     }
 }
