--- a/crates/fleet/benches/planner.rs
+++ b/crates/fleet/benches/planner.rs
@@ -31,7 +31,7 @@
     for domains in [32, 158] {
         let mut world = fleet(domains);
         let name = format!("look at {} runners", domains * 19);
-        criterion.bench_function(&name, |bencher| bencher.iter(|| black_box(world.look())));
+        criterion.bench_function(&name, |bencher| bencher.iter(|| black_box(world.step())));
     }
 }
 
--- a/crates/fleet/tests/demand.rs
+++ b/crates/fleet/tests/demand.rs
@@ -26,20 +26,20 @@
     let mut world = World::new(engine(models(), 20.0, 28), 6, 37, 2, seed);
     world.run(Millis(14_000));
     world.serving = true;
-    world.reset();
+    world.reset_counts();
     want(&mut world, large, small);
     world
 }
 
 fn want(world: &mut World, large: u32, small: u32) {
-    world.wanted = HashMap::from([(name("large"), large), (name("small"), small)]);
+    world.demanded_slots = HashMap::from([(name("large"), large), (name("small"), small)]);
 }
 
 /// Groups open on average, large and small, over so many losses of four runners.
 fn lose(world: &mut World, losses: usize) -> (f64, f64) {
     let (mut large, mut small) = (0, 0);
     for _ in 0..losses {
-        world.lose_by_turns(3, 4, PAUSE, PAUSE);
+        world.lose_in_turn(3, 4, PAUSE, PAUSE);
         large += world.count_open("large");
         small += world.count_open("small");
     }
--- a/crates/fleet/tests/losses.rs
+++ b/crates/fleet/tests/losses.rs
@@ -19,7 +19,7 @@
     let mut world = World::new(service, domains, size, per_hall, seed);
     world.run(Millis(14_000));
     world.serving = true;
-    world.reset();
+    world.reset_counts();
     world
 }
 
@@ -30,7 +30,7 @@
 
 /// Where a runner may serve at all: of nineteen, three fit into no group.
 fn serving(world: &World) -> f64 {
-    world.part("large") + world.part("small")
+    world.served_ratio("large") + world.served_ratio("small")
 }
 
 #[test]
@@ -45,9 +45,9 @@
     // of those that stand by reaches 0.567, and 0.22 for the large model.
     for seed in 0..3 {
         let mut world = large_fleet(seed);
-        world.lose_by_turns(5, 11, PAUSE, Millis(36_000));
+        world.lose_in_turn(5, 11, PAUSE, Millis(36_000));
         assert!(serving(&world) > 0.69, "seed {seed}: {}", serving(&world));
-        assert!(world.part("large") > 0.32, "seed {seed}: {}", world.part("large"));
+        assert!(world.served_ratio("large") > 0.32, "seed {seed}: {}", world.served_ratio("large"));
     }
 }
 
@@ -59,7 +59,7 @@
     world.run(Millis(8000));
     assert_eq!((world.count_open("large"), world.count_open("small")), (39, 78));
     for _ in 0..19 {
-        world.add(3);
+        world.add_runner(3);
     }
     world.run(Millis(30_000));
     assert_eq!((world.count_open("large"), world.count_open("small")), (40, 80));
@@ -69,7 +69,7 @@
 fn a_decider_that_takes_over_with_loads_and_forms_under_way() {
     let mut world = large_fleet(2);
     for _ in 0..12 {
-        world.lose_by_turns(5, 11, PAUSE, PAUSE);
+        world.lose_in_turn(5, 11, PAUSE, PAUSE);
         world.replace_decider();
     }
     // With one decider all the while 0.70; a planner without second models 0.495.
@@ -79,12 +79,12 @@
 #[test]
 fn ten_seconds_without_a_decider() {
     let mut world = large_fleet(3);
-    world.lose_by_turns(5, 11, PAUSE, Millis(9000));
+    world.lose_in_turn(5, 11, PAUSE, Millis(9000));
     world.deciding = false;
-    world.lose_by_turns(5, 11, PAUSE, Millis(9000));
+    world.lose_in_turn(5, 11, PAUSE, Millis(9000));
     world.deciding = true;
     world.replace_decider();
-    world.reset();
+    world.reset_counts();
     world.run(Millis(12_000));
     assert!(serving(&world) > 0.5, "{}", serving(&world));
 }
@@ -96,7 +96,7 @@
     let mut both = 0.0;
     for seed in 0..6 {
         let mut world = started(engine(sizes(4, 2), 4.0, 6), 6, 8, 2, seed);
-        world.lose_by_turns(3, 1, PAUSE, Millis(36_000));
+        world.lose_in_turn(3, 1, PAUSE, Millis(36_000));
         both += serving(&world) / 6.0;
     }
     assert!(both > 0.6, "{both}");
@@ -110,13 +110,13 @@
         model("small", 2, 0.3, 8_000, 900),
     ];
     let mut world = started(engine(three, 30.0, 40), 12, 17, 4, 5);
-    world.lose_by_turns(3, 2, PAUSE, Millis(24_000));
+    world.lose_in_turn(3, 2, PAUSE, Millis(24_000));
     for name in ["large", "middle", "small"] {
-        assert!(world.part(name) > 0.15, "{name}: {}", world.part(name));
+        assert!(world.served_ratio(name) > 0.15, "{name}: {}", world.served_ratio(name));
     }
     let mut world = started(engine(vec![model("only", 5, 1.0, 10_000, 1000)], 30.0, 40), 12, 11, 4, 6);
-    world.lose_by_turns(3, 2, PAUSE, Millis(24_000));
-    assert!(world.part("only") > 0.6, "{}", world.part("only"));
+    world.lose_in_turn(3, 2, PAUSE, Millis(24_000));
+    assert!(world.served_ratio("only") > 0.6, "{}", world.served_ratio("only"));
 }
 
 #[test]
@@ -124,10 +124,10 @@
     // The fleet itself checks each join and each opening.
     for seed in 0..8 {
         let mut world = started(engine(sizes(4, 2), 10.0, 12), 4, 9, 2, seed);
-        world.late = 0.3;
+        world.late_ratio = 0.3;
         for turn in 0..20 {
-            world.lose_by_turns(2, 1, PAUSE, PAUSE);
-            world.add(turn % 4);
+            world.lose_in_turn(2, 1, PAUSE, PAUSE);
+            world.add_runner(turn % 4);
             if turn % 3 == 0 {
                 world.replace_decider();
             }
--- a/crates/fleet/tests/restarts.rs
+++ b/crates/fleet/tests/restarts.rs
@@ -18,7 +18,7 @@
     let mut world = World::new(service, 4, 12, 2, seed);
     world.run(Millis(14_000));
     world.serving = true;
-    world.reset();
+    world.reset_counts();
     world
 }
 
@@ -27,8 +27,8 @@
     for seed in 0..8 {
         let mut rng = SmallRng::seed_from_u64(seed);
         let mut world = fleet(seed);
-        world.unwritten = Millis(1200);
-        world.late = if seed % 2 == 0 { 0.3 } else { 0.0 };
+        world.entry_delay = Millis(1200);
+        world.late_ratio = if seed % 2 == 0 { 0.3 } else { 0.0 };
         for _ in 0..60 {
             world.restart_one(rng.random_bool(0.8), DOWN[rng.random_range(0..DOWN.len())]);
             if rng.random_bool(0.1) {
@@ -37,7 +37,7 @@
             world.run(Millis(rng.random_range(100..1500)));
         }
         // All is formed again once it is calm.
-        world.late = 0.0;
+        world.late_ratio = 0.0;
         world.run(Millis(60_000));
         let open = (world.count_open("large"), world.count_open("small"));
         assert!(open.0 >= 4 && open.0 * 4 + open.1 * 2 >= 40, "seed {seed}: {open:?} open in the end");
@@ -55,7 +55,7 @@
             world.restart_one(true, Millis(0));
             world.run(Millis(2500));
         }
-        served += (world.part("large") + world.part("small")) / 6.0;
+        served += (world.served_ratio("large") + world.served_ratio("small")) / 6.0;
     }
     assert!(served > 0.75, "{served}");
 }
--- a/crates/fleet/tests/world/mod.rs
+++ b/crates/fleet/tests/world/mod.rs
@@ -1,7 +1,7 @@
-//! A fleet of runners on a set clock that takes as long as real ones: loads share the
-//! weight store, entries and answers come late, losses are noticed by questions.
+//! A simulated fleet of runners with realistic delays, on a simulated clock: loads share the
+//! weight store, entries and answers arrive late, and losses are detected by probes.
 
-#![allow(dead_code, reason = "tests and benches use a part each")]
+#![allow(dead_code, reason = "each test and bench uses a part of this module")]
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 
@@ -22,55 +22,56 @@
 use rand::seq::IteratorRandom;
 use rand::{Rng, SeedableRng};
 
-/// The time between two looks at the world.
+/// The time step of the simulation.
 pub const TICK: Millis = Millis(50);
 
 const CEILING: Ceiling = Ceiling { window: Millis(5000), overshoot: 1.1 };
 const STALL: Millis = Millis(6000);
 
-/// The decider looks this often, asks this often, and hears of changes so much later.
-const LOOK: Millis = Millis(250);
-const ROUND: Millis = Millis(700);
-const LAG: Millis = Millis(100);
+/// The intervals between planning steps and between rounds of probes, and the delay after which the
+/// decider sees a changed entry.
+const STEP_INTERVAL: Millis = Millis(250);
+const PROBE_INTERVAL: Millis = Millis(700);
+const STORE_LATENCY: Millis = Millis(100);
 
-/// What opening a head and joining with the model in place take.
-const FORM: Millis = Millis(300);
-const REJOIN: Millis = Millis(200);
+/// The times that a head needs to open, and a member to join with the model already loaded.
+const OPEN_TIME: Millis = Millis(300);
+const REJOIN_TIME: Millis = Millis(200);
 
-/// How many seconds of load from the weight store are left.
+/// A load from the weight store, with the seconds that remain at full speed.
 struct Load {
     model: id::Model,
-    left: f64,
+    remaining: f64,
 }
 
-/// A runner as it is, not as it is known.
+/// The actual state of a runner, which the decider knows only from entries and probes.
 struct Actor {
     entry: Runner,
     alive: bool,
-    /// A model on its way to the host.
+    /// The load of a model onto the host.
     staging: Option<Load>,
-    /// A model on its way from the weight store for a join.
+    /// The load of a model from the weight store for a join.
     loading: Option<Load>,
-    /// When a join or the opening of a head that needs no load is done.
-    ready: Option<Millis>,
+    /// When a join without a load, or the opening of a head, is done.
+    ready_at: Option<Millis>,
     members: Vec<id::Runner>,
-    /// The model of the group it is in.
+    /// The model of its group.
     model: Option<id::Model>,
     /// The model of the last group in which it was ready.
-    last: Option<id::Model>,
+    served: Option<id::Model>,
     /// The highest epoch it has seen.
     epoch: Epoch,
-    /// Since when its group stands still.
-    still: Option<Millis>,
-    /// Since when it is gone.
-    gone: Option<Millis>,
-    /// How often it has joined a group or lost its place.
-    places: u64,
-    /// As the head of a group: those of all members when it opened. A group stands still
-    /// until it breaks once a member has joined anew, too.
-    opened: Vec<u64>,
-    /// Groups in which it was ready, in any of its lives.
-    once_ready: HashSet<(id::Group, Epoch)>,
+    /// Since when its group has been stalled.
+    stalled_since: Option<Millis>,
+    /// When it was lost for good.
+    died_at: Option<Millis>,
+    /// How often it joined a group or lost its membership by a restart.
+    membership_changes: u64,
+    /// For a head: the `membership_changes` of all members when it opened. A group is also stalled
+    /// until it breaks if a member has joined again since.
+    changes_at_open: Vec<u64>,
+    /// The groups in which it was ready, in any incarnation.
+    ever_ready: HashSet<(id::Group, Epoch)>,
 }
 
 /// A fleet and its decider.
@@ -80,35 +81,35 @@
     pub serving: bool,
     pub plans: Plans,
     pub memory: Memory,
-    /// What the other nodes have read of groups that stand still.
-    halts: Stalls,
+    /// The stalled groups as the other nodes have read them from the plans.
+    stalls: Stalls,
     roster: Roster,
     probes: Probes,
     actors: BTreeMap<id::Runner, Actor>,
-    /// Entries on their way to the decider.
-    news: Vec<(Millis, id::Runner, Option<Runner>)>,
-    looked: Millis,
-    asked: Millis,
+    /// Entries and when the decider will see them; `None` means that the entry is gone.
+    entry_updates: Vec<(Millis, id::Runner, Option<Runner>)>,
+    stepped_at: Millis,
+    probed_at: Millis,
     pub deciding: bool,
     rng: SmallRng,
-    numbered: usize,
-    per_hall: usize,
-    turns: u64,
-    /// Seconds that members of open groups served, by model, and those of all runners.
-    pub served: HashMap<id::Model, f64>,
-    pub alive: f64,
-    /// Loads begun since callers came.
+    runner_count: usize,
+    domains_per_hall: usize,
+    rounds: u64,
+    /// The seconds that members of open groups served, by model, and the seconds of all runners.
+    pub served_seconds: HashMap<id::Model, f64>,
+    pub runner_seconds: f64,
+    /// The number of loads begun while callers were present.
     pub loads: usize,
-    /// The part of all orders that are carried out seconds later, without an answer.
-    pub late: f64,
-    /// How many slots callers would use, by model.
-    pub wanted: HashMap<id::Model, u32>,
-    /// Orders on their way.
-    slow: Vec<(Millis, id::Runner, Order)>,
-    /// Runners that start again under their id, and when.
-    ended: Vec<(Millis, id::Runner)>,
-    /// How long after its start a runner writes its entry, at the most.
-    pub unwritten: Millis,
+    /// The ratio of orders that are executed seconds later and never answered.
+    pub late_ratio: f64,
+    /// The number of slots that callers would use, by model.
+    pub demanded_slots: HashMap<id::Model, u32>,
+    /// Orders that are executed late, and when.
+    late_orders: Vec<(Millis, id::Runner, Order)>,
+    /// Runners that restart under their id, and when.
+    restarting: Vec<(Millis, id::Runner)>,
+    /// The longest time after its start at which a runner writes its entry.
+    pub entry_delay: Millis,
 }
 
 pub fn model(name: &str, size: usize, share: f64, load: u64, warm: u64) -> Model {
@@ -122,51 +123,51 @@
 }
 
 impl World {
-    /// A fleet that starts: `domains` of `size` runners, in halls of `per_hall` domains.
-    pub fn new(service: Service, domains: usize, size: usize, per_hall: usize, seed: u64) -> World {
+    /// Returns a starting fleet: `domains` of `size` runners, in halls of `domains_per_hall` domains.
+    pub fn new(service: Service, domains: usize, size: usize, domains_per_hall: usize, seed: u64) -> World {
         let mut world = World {
             service,
             now: Millis(1_000_000),
             serving: false,
             plans: Plans::new(),
             memory: Memory::default(),
-            halts: Stalls::default(),
+            stalls: Stalls::default(),
             roster: Roster::default(),
             probes: Probes::default(),
             actors: BTreeMap::new(),
-            news: Vec::new(),
-            looked: Millis(0),
-            asked: Millis(0),
+            entry_updates: Vec::new(),
+            stepped_at: Millis(0),
+            probed_at: Millis(0),
             deciding: true,
             rng: SmallRng::seed_from_u64(seed),
-            per_hall,
-            turns: 0,
-            numbered: 0,
-            served: HashMap::new(),
-            alive: 0.0,
+            domains_per_hall,
+            rounds: 0,
+            runner_count: 0,
+            served_seconds: HashMap::new(),
+            runner_seconds: 0.0,
             loads: 0,
-            late: 0.0,
-            wanted: HashMap::new(),
-            slow: Vec::new(),
-            ended: Vec::new(),
-            unwritten: Millis(0),
+            late_ratio: 0.0,
+            demanded_slots: HashMap::new(),
+            late_orders: Vec::new(),
+            restarting: Vec::new(),
+            entry_delay: Millis(0),
         };
         for domain in 0..domains {
             for _ in 0..size {
-                world.add(domain);
+                world.add_runner(domain);
             }
         }
         world
     }
 
-    /// An empty runner comes.
-    pub fn add(&mut self, domain: usize) {
-        self.numbered += 1;
+    /// Adds an empty runner to a domain.
+    pub fn add_runner(&mut self, domain: usize) {
+        self.runner_count += 1;
         let entry = Runner {
-            id: format!("r{}", self.numbered).parse().unwrap(),
+            id: format!("r{}", self.runner_count).parse().unwrap(),
             service: self.service.id.clone(),
             address: "127.0.0.1:9".parse().unwrap(),
-            hall: format!("hall-{}", domain / self.per_hall).parse().unwrap(),
+            hall: format!("hall-{}", domain / self.domains_per_hall).parse().unwrap(),
             domain: Some(format!("d{domain}").parse().unwrap()),
             slots: 14,
             draining: false,
@@ -184,37 +185,38 @@
             alive: true,
             staging: None,
             loading: None,
-            ready: None,
+            ready_at: None,
             members: Vec::new(),
             model: None,
-            last: None,
+            served: None,
             epoch: Epoch(0),
-            still: None,
-            gone: None,
-            places: 0,
-            opened: Vec::new(),
-            once_ready: HashSet::new(),
+            stalled_since: None,
+            died_at: None,
+            membership_changes: 0,
+            changes_at_open: Vec::new(),
+            ever_ready: HashSet::new(),
         };
         self.actors.insert(id.clone(), actor);
-        self.tell(&id);
+        self.write_entry(&id);
     }
 
-    /// `count` runners of a hall are gone for good and silent: members of groups first.
+    /// Kills `count` members of groups in a hall for good; they do not answer any more.
     pub fn lose(&mut self, hall: usize, count: usize) {
         let hall: id::Hall = format!("hall-{hall}").parse().unwrap();
         for _ in 0..count {
-            let here = self.actors.iter().filter(|(_, actor)| actor.alive && actor.entry.hall == hall);
-            let member = here.filter(|(_, actor)| actor.entry.membership.is_some()).map(|(id, _)| id.clone());
+            let candidates = self.actors.iter().filter(|(_, actor)| actor.alive && actor.entry.hall == hall);
+            let member =
+                candidates.filter(|(_, actor)| actor.entry.membership.is_some()).map(|(id, _)| id.clone());
             let Some(id) = member.choose(&mut self.rng) else { return };
             self.kill(&id);
         }
     }
 
-    /// All runners of a domain are gone for good.
+    /// Kills all runners of a domain for good.
     pub fn lose_domain(&mut self, domain: &str) {
         let domain: id::Domain = domain.parse().unwrap();
-        let here = self.actors.iter().filter(|(_, actor)| actor.entry.domain.as_ref() == Some(&domain));
-        let ids: Vec<id::Runner> = here.map(|(id, _)| id.clone()).collect();
+        let candidates = self.actors.iter().filter(|(_, actor)| actor.entry.domain.as_ref() == Some(&domain));
+        let ids: Vec<id::Runner> = candidates.map(|(id, _)| id.clone()).collect();
         for id in ids {
             self.kill(&id);
         }
@@ -223,50 +225,51 @@
     fn kill(&mut self, id: &id::Runner) {
         let actor = self.actors.get_mut(id).unwrap();
         actor.alive = false;
-        actor.gone = Some(self.now);
-        self.news.push((self.now + Millis(3600), id.clone(), None));
+        actor.died_at = Some(self.now);
+        self.entry_updates.push((self.now + Millis(3600), id.clone(), None));
     }
 
-    /// The process of any runner ends, of a member of a group if `member`, and starts again
-    /// under its id after `down`. It holds and knows nothing but what its host keeps.
+    /// Ends the process of a random runner, a member of a group if `member`, and restarts it under
+    /// its id after `down`. All its state is lost except the models kept by its host.
     pub fn restart_one(&mut self, member: bool, down: Millis) {
         let living = self.actors.iter().filter(|(_, actor)| actor.alive);
-        let fits = living.filter(|(_, actor)| !member || actor.entry.membership.is_some());
-        let Some(id) = fits.map(|(id, _)| id.clone()).choose(&mut self.rng) else { return };
+        let eligible = living.filter(|(_, actor)| !member || actor.entry.membership.is_some());
+        let Some(id) = eligible.map(|(id, _)| id.clone()).choose(&mut self.rng) else { return };
         let now = self.now;
         let actor = self.actors.get_mut(&id).unwrap();
         actor.alive = false;
         actor.entry.restart(Incarnation(now.0 + down.0));
-        (actor.staging, actor.loading, actor.ready) = (None, None, None);
-        (actor.model, actor.last, actor.still) = (None, None, None);
+        (actor.staging, actor.loading, actor.ready_at) = (None, None, None);
+        (actor.model, actor.served, actor.stalled_since) = (None, None, None);
         actor.members.clear();
         actor.epoch = Epoch(0);
-        actor.places += 1;
-        self.ended.push((now + down, id));
+        actor.membership_changes += 1;
+        self.restarting.push((now + down, id));
     }
 
-    fn start_again(&mut self) {
-        let (due, later) = std::mem::take(&mut self.ended).into_iter().partition(|(at, _)| *at <= self.now);
-        self.ended = later;
+    fn start_restarted(&mut self) {
+        let (due, later) =
+            std::mem::take(&mut self.restarting).into_iter().partition(|(at, _)| *at <= self.now);
+        self.restarting = later;
         let due: Vec<(Millis, id::Runner)> = due;
         for (_, id) in due {
             let actor = self.actors.get_mut(&id).unwrap();
             actor.alive = true;
             let entry = actor.entry.clone();
-            let wait = Millis(self.rng.random_range(0..=self.unwritten.0));
-            self.news.push((self.now + LAG + wait, id, Some(entry)));
+            let wait = Millis(self.rng.random_range(0..=self.entry_delay.0));
+            self.entry_updates.push((self.now + STORE_LATENCY + wait, id, Some(entry)));
         }
     }
 
-    /// The decider is lost, and another one knows nothing but the plans and the entries.
+    /// Replaces the decider by one that knows only the plans and the entries.
     pub fn replace_decider(&mut self) {
-        self.memory = Memory::resume(&self.halts);
+        self.memory = Memory::resume(&self.stalls);
         self.probes = Probes::default();
     }
 
-    fn tell(&mut self, id: &id::Runner) {
+    fn write_entry(&mut self, id: &id::Runner) {
         let entry = self.actors[id].entry.clone();
-        self.news.push((self.now + LAG, id.clone(), Some(entry)));
+        self.entry_updates.push((self.now + STORE_LATENCY, id.clone(), Some(entry)));
     }
 
     pub fn run(&mut self, span: Millis) {
@@ -278,20 +281,20 @@
 
     fn tick(&mut self) {
         self.now = self.now + TICK;
-        self.start_again();
-        self.obey_late();
+        self.start_restarted();
+        self.execute_late_orders();
         self.advance_loads();
         self.advance_groups();
         self.deliver();
-        if self.deciding && self.now >= self.asked + ROUND {
-            self.asked = self.now;
-            self.ask();
+        if self.deciding && self.now >= self.probed_at + PROBE_INTERVAL {
+            self.probed_at = self.now;
+            self.probe();
         }
-        if self.deciding && self.now >= self.looked + LOOK {
-            self.looked = self.now;
+        if self.deciding && self.now >= self.stepped_at + STEP_INTERVAL {
+            self.stepped_at = self.now;
             self.decide();
         }
-        self.account();
+        self.measure_service();
     }
 
     fn engine(&self) -> Engine {
@@ -307,61 +310,64 @@
         let mut changed = Vec::new();
         for (id, actor) in self.actors.iter_mut().filter(|(_, actor)| actor.alive) {
             for load in [&mut actor.staging, &mut actor.loading] {
-                let Some(held) = load else { continue };
-                held.left -= pace;
-                if held.left <= 0.0 {
-                    actor.entry.staged = vec![held.model.clone()];
+                let Some(active) = load else { continue };
+                active.remaining -= pace;
+                if active.remaining <= 0.0 {
+                    actor.entry.staged = vec![active.model.clone()];
                     *load = None;
                     changed.push(id.clone());
                 }
             }
         }
         for id in changed {
-            self.tell(&id);
+            self.write_entry(&id);
         }
     }
 
     fn advance_groups(&mut self) {
         let mut changed = Vec::new();
         for (id, actor) in self.actors.iter_mut().filter(|(_, actor)| actor.alive) {
-            let Some(place) = &mut actor.entry.membership else { continue };
-            let waits = actor.loading.is_some()
-                || (actor.staging.is_some() && actor.last != actor.model && place.phase == Phase::Joining);
-            if waits || actor.ready.is_none_or(|ready| self.now < ready) {
+            let Some(membership) = &mut actor.entry.membership else { continue };
+            let is_loading = actor.loading.is_some()
+                || (actor.staging.is_some()
+                    && actor.served != actor.model
+                    && membership.phase == Phase::Joining);
+            if is_loading || actor.ready_at.is_none_or(|ready_at| self.now < ready_at) {
                 continue;
             }
-            actor.ready = None;
-            match place.phase {
+            actor.ready_at = None;
+            match membership.phase {
                 Phase::Joining => {
-                    place.phase = Phase::Ready;
-                    actor.once_ready.insert((place.group.clone(), place.epoch));
+                    membership.phase = Phase::Ready;
+                    actor.ever_ready.insert((membership.group.clone(), membership.epoch));
                     actor.entry.models = actor.model.clone().into_iter().collect();
-                    actor.last = actor.model.clone();
+                    actor.served = actor.model.clone();
                 }
-                Phase::Ready => place.phase = Phase::Open,
+                Phase::Ready => membership.phase = Phase::Open,
                 Phase::Open | Phase::Closing | Phase::Broken => {}
             }
             changed.push(id.clone());
         }
-        changed.extend(self.break_groups());
+        changed.extend(self.break_stalled_groups());
         for id in changed {
-            self.tell(&id);
+            self.write_entry(&id);
         }
     }
 
-    /// Heads whose group lacks a member for the time of a stall.
-    fn break_groups(&mut self) -> Vec<id::Runner> {
+    /// Breaks the groups that have lacked a member for the stall time, and returns their heads.
+    fn break_stalled_groups(&mut self) -> Vec<id::Runner> {
         let heads: Vec<id::Runner> = self.list_heads();
-        let whole: HashSet<id::Runner> = heads.iter().filter(|head| self.is_whole(head)).cloned().collect();
+        let complete: HashSet<id::Runner> =
+            heads.iter().filter(|head| self.is_complete(head)).cloned().collect();
         let mut broken = Vec::new();
         for head in heads {
             let now = self.now;
             let actor = self.actors.get_mut(&head).unwrap();
-            if whole.contains(&head) {
-                actor.still = None;
+            if complete.contains(&head) {
+                actor.stalled_since = None;
                 continue;
             }
-            let since = *actor.still.get_or_insert(now);
+            let since = *actor.stalled_since.get_or_insert(now);
             if now >= since + STALL {
                 actor.entry.membership.as_mut().unwrap().phase = Phase::Broken;
                 broken.push(head);
@@ -372,27 +378,32 @@
 
     fn list_heads(&self) -> Vec<id::Runner> {
         let open = |actor: &Actor| {
-            let place = actor.entry.membership.as_ref();
-            actor.alive && place.is_some_and(|place| matches!(place.phase, Phase::Open | Phase::Closing))
+            let membership = actor.entry.membership.as_ref();
+            actor.alive
+                && membership
+                    .is_some_and(|membership| matches!(membership.phase, Phase::Open | Phase::Closing))
         };
         self.actors.iter().filter(|(_, actor)| open(actor)).map(|(id, _)| id.clone()).collect()
     }
 
-    fn is_whole(&self, head: &id::Runner) -> bool {
+    fn is_complete(&self, head: &id::Runner) -> bool {
         let actor = &self.actors[head];
-        let place = actor.entry.membership.as_ref().unwrap();
+        let membership = actor.entry.membership.as_ref().unwrap();
         actor.members.iter().enumerate().all(|(rank, member)| {
             let other = &self.actors[member];
-            let there = other.entry.membership.as_ref();
-            let same = actor.opened.get(rank) == Some(&other.places);
+            let actual = other.entry.membership.as_ref();
+            let same = actor.changes_at_open.get(rank) == Some(&other.membership_changes);
             same && other.alive
-                && there.is_some_and(|there| there.group == place.group && there.epoch == place.epoch)
+                && actual.is_some_and(|actual| {
+                    actual.group == membership.group && actual.epoch == membership.epoch
+                })
         })
     }
 
     fn deliver(&mut self) {
-        let (due, later) = std::mem::take(&mut self.news).into_iter().partition(|(at, ..)| *at <= self.now);
-        self.news = later;
+        let (due, later) =
+            std::mem::take(&mut self.entry_updates).into_iter().partition(|(at, ..)| *at <= self.now);
+        self.entry_updates = later;
         let due: Vec<(Millis, id::Runner, Option<Runner>)> = due;
         for (_, id, entry) in due {
             match entry {
@@ -405,7 +416,7 @@
         }
     }
 
-    fn ask(&mut self) {
+    fn probe(&mut self) {
         let members = self.plans.values().flat_map(|plan| &plan.groups).flat_map(|group| &group.members);
         let round: Vec<Answer> = members
             .map(|id| Answer {
@@ -417,51 +428,51 @@
             })
             .collect();
         for answer in &round {
-            if let Some(life) = answer.incarnation {
-                self.roster.record_incarnation(&answer.runner, life);
+            if let Some(incarnation) = answer.incarnation {
+                self.roster.record_incarnation(&answer.runner, incarnation);
             }
         }
         self.probes.record_round(&round);
     }
 
     fn decide(&mut self) {
-        let step = self.look();
+        let step = self.step();
         for (domain, document, _) in step.writes {
             self.plans.insert(domain, document);
         }
-        self.halts.update(&self.plans, self.now);
+        self.stalls.update(&self.plans, self.now);
         for (id, order) in step.orders {
-            if self.rng.random::<f64>() < self.late {
+            if self.rng.random::<f64>() < self.late_ratio {
                 let at = self.now + Millis(self.rng.random_range(2000..12_000));
-                self.slow.push((at, id, order));
+                self.late_orders.push((at, id, order));
             } else if self.actors[&id].alive {
-                let life = self.roster.get_last_known(&id).and_then(|runner| runner.incarnation);
-                let taken = self.obey(&id, &order);
-                match taken {
-                    true => self.memory.record_acknowledged(&id, life, &order, self.now),
+                let incarnation = self.roster.get_last_known(&id).and_then(|runner| runner.incarnation);
+                let accepted = self.execute(&id, &order);
+                match accepted {
+                    true => self.memory.record_acknowledged(&id, incarnation, &order, self.now),
                     false => self.memory.record_refused(&id, &order),
                 }
             }
         }
     }
 
-    /// What is in flight at each group where callers keep so many slots of each model in
-    /// use, as far as there are any. None if nobody says what callers want.
+    /// Returns the requests in flight at each open group if callers use the demanded slots of each
+    /// model, or none if no demand is set.
     fn spread_requests(&self) -> Option<Counts> {
         let mut counts = Counts::new();
-        for (name, wanted) in &self.wanted {
+        for (name, demanded) in &self.demanded_slots {
             let heads = self.roster.list_heads(&self.service.id, name, &self.plans);
             let epochs = heads.iter().filter_map(|head| Some(head.membership.as_ref()?.epoch));
-            let each = wanted / heads.len().max(1) as u32;
+            let each = demanded / heads.len().max(1) as u32;
             counts.extend(epochs.map(|epoch| (epoch, each)));
         }
-        (!self.wanted.is_empty()).then_some(counts)
+        (!self.demanded_slots.is_empty()).then_some(counts)
     }
 
-    /// What the decider would do now.
-    pub fn look(&mut self) -> Step {
+    /// Runs one planning step of the decider on the current state.
+    pub fn step(&mut self) -> Step {
         let in_flight = self.spread_requests();
-        let scene = Snapshot {
+        let snapshot = Snapshot {
             service: &self.service,
             roster: &self.roster,
             plans: &self.plans,
@@ -474,61 +485,64 @@
             rejecting: &BTreeSet::new(),
             now: self.now,
         };
-        step(&scene, &mut self.memory)
+        step(&snapshot, &mut self.memory)
     }
 
-    /// Carries out orders that were long under way. Nobody learns what became of them.
-    fn obey_late(&mut self) {
-        let (due, later) = std::mem::take(&mut self.slow).into_iter().partition(|(at, ..)| *at <= self.now);
-        self.slow = later;
+    /// Executes the late orders that are due. The decider does not learn their results.
+    fn execute_late_orders(&mut self) {
+        let (due, later) =
+            std::mem::take(&mut self.late_orders).into_iter().partition(|(at, ..)| *at <= self.now);
+        self.late_orders = later;
         let due: Vec<(Millis, id::Runner, Order)> = due;
         for (_, id, order) in due {
             if self.actors[&id].alive {
-                self.obey(&id, &order);
+                self.execute(&id, &order);
             }
         }
     }
 
-    /// A runner must not go to another group while the head of its own may run requests:
-    /// it is open, or stands still and has not broken yet.
+    /// Checks that a runner does not join another group while the head of its own may run requests:
+    /// while that group is open, or stalled and not yet broken.
     fn check_join(&self, id: &id::Runner, group: &id::Group) {
         let actor = &self.actors[id];
-        let Some(place) = actor.entry.membership.as_ref().filter(|place| place.group != *group) else {
+        let Some(membership) =
+            actor.entry.membership.as_ref().filter(|membership| membership.group != *group)
+        else {
             return;
         };
         let Some(head) = actor.members.first().map(|head| &self.actors[head]) else { return };
-        let there = head.entry.membership.as_ref();
-        let led = there.is_some_and(|there| {
-            there.group == place.group
-                && there.epoch == place.epoch
-                && matches!(there.phase, Phase::Open | Phase::Closing)
+        let actual = head.entry.membership.as_ref();
+        let is_led = actual.is_some_and(|actual| {
+            actual.group == membership.group
+                && actual.epoch == membership.epoch
+                && matches!(actual.phase, Phase::Open | Phase::Closing)
         });
-        assert!(!led || !head.alive, "{id} leaves {place:?} for {group} while its head is open");
-        let gone = head.gone.filter(|_| led);
+        assert!(!is_led || !head.alive, "{id} leaves {membership:?} for {group} while its head is open");
+        let died_at = head.died_at.filter(|_| is_led);
         assert!(
-            gone.is_none_or(|gone| self.now >= gone + STALL),
-            "{id} leaves {place:?} for {group} too early"
+            died_at.is_none_or(|died_at| self.now >= died_at + STALL),
+            "{id} leaves {membership:?} for {group} too early"
         );
     }
 
-    /// A head opens only with all members ready, under the same name and epoch.
+    /// Checks that a head opens only after all members were ready in the same group and epoch.
     fn check_open(&self, id: &id::Runner, group: &id::Group, epoch: Epoch) {
         let actor = &self.actors[id];
         let model = actor.model.as_ref().unwrap();
         let size = self.engine().models.iter().find(|known| known.name == *model).unwrap().size;
-        assert_eq!(actor.members.len(), size, "{group} opens short");
+        assert_eq!(actor.members.len(), size, "{group} opens with too few members");
         for member in &actor.members {
-            let there = &self.actors[member];
-            let ready = there.entry.membership.as_ref().is_some_and(|there| {
-                there.group == *group && there.epoch == epoch && there.phase != Phase::Joining
+            let other = &self.actors[member];
+            let ready = other.entry.membership.as_ref().is_some_and(|actual| {
+                actual.group == *group && actual.epoch == epoch && actual.phase != Phase::Joining
             });
-            let once = there.once_ready.contains(&(group.clone(), epoch));
-            assert!(ready || once || !there.alive, "{group} opens while {member} was never ready");
+            let was_ready = other.ever_ready.contains(&(group.clone(), epoch));
+            assert!(ready || was_ready || !other.alive, "{group} opens while {member} was never ready");
         }
     }
 
-    /// Carries an order out. Returns false if it is refused for an older epoch.
-    fn obey(&mut self, id: &id::Runner, order: &Order) -> bool {
+    /// Executes an order. Returns false if the runner refuses it because of its epoch or phase.
+    fn execute(&mut self, id: &id::Runner, order: &Order) -> bool {
         if let Order::Join(group, epoch, ..) = order
             && *epoch >= self.actors[id].epoch
         {
@@ -536,33 +550,34 @@
         }
         let engine = self.engine();
         let find = |name: &id::Model| engine.models.iter().find(|model| model.name == *name).unwrap().clone();
-        let early = if self.serving { 1.0 } else { 0.1 };
-        let seconds = |time: Millis| time.0 as f64 / 1000.0 * early;
+        let time_factor = if self.serving { 1.0 } else { 0.1 };
+        let seconds = |time: Millis| time.0 as f64 / 1000.0 * time_factor;
         let now = self.now;
         let actor = self.actors.get_mut(id).unwrap();
-        let taken = match order {
+        let accepted = match order {
             Order::Join(group, epoch, name, members) => {
-                let fits = *epoch >= actor.epoch;
-                let place = actor.entry.membership.as_ref();
-                // A repeated order already holds.
-                let holds = place.is_some_and(|place| place.group == *group && place.epoch == *epoch);
-                if fits && !holds {
+                let is_current = *epoch >= actor.epoch;
+                let membership = actor.entry.membership.as_ref();
+                // The order is a repetition.
+                let holds = membership
+                    .is_some_and(|membership| membership.group == *group && membership.epoch == *epoch);
+                if is_current && !holds {
                     actor.epoch = *epoch;
-                    actor.places += 1;
+                    actor.membership_changes += 1;
                     let model = find(name);
                     let rank = members.iter().position(|member| member == id).unwrap();
-                    let place =
+                    let membership =
                         Membership { group: group.clone(), epoch: *epoch, rank, phase: Phase::Joining };
-                    actor.entry.membership = Some(place);
+                    actor.entry.membership = Some(membership);
                     actor.members = members.clone();
                     actor.model = Some(name.clone());
-                    actor.still = None;
-                    let loaded = actor.last.as_ref() == Some(name);
+                    actor.stalled_since = None;
+                    let loaded = actor.served.as_ref() == Some(name);
                     actor.entry.models.clear();
                     let staged = actor.entry.staged.contains(name);
-                    actor.ready = Some(
+                    actor.ready_at = Some(
                         now + if loaded {
-                            REJOIN
+                            REJOIN_TIME
                         } else if staged {
                             model.warm_load_time
                         } else {
@@ -570,25 +585,30 @@
                         },
                     );
                     if !loaded && !staged && actor.staging.as_ref().is_none_or(|load| load.model != *name) {
-                        actor.loading = Some(Load { model: name.clone(), left: seconds(model.load_time) });
+                        actor.loading =
+                            Some(Load { model: name.clone(), remaining: seconds(model.load_time) });
                         self.loads += usize::from(self.serving);
                     }
                 }
-                fits
+                is_current
             }
             Order::Open(group, epoch) => {
-                let place = actor.entry.membership.as_ref();
-                let fits = place.is_some_and(|place| {
-                    place.group == *group && place.epoch == *epoch && place.phase == Phase::Ready
+                let membership = actor.entry.membership.as_ref();
+                let is_ready = membership.is_some_and(|membership| {
+                    membership.group == *group
+                        && membership.epoch == *epoch
+                        && membership.phase == Phase::Ready
                 });
-                if fits {
-                    actor.ready = Some(now + FORM);
+                if is_ready {
+                    actor.ready_at = Some(now + OPEN_TIME);
                 }
-                fits
+                is_ready
             }
             Order::Close(group, epoch) | Order::Leave(group, epoch) => {
-                let place = actor.entry.membership.as_ref();
-                if place.is_some_and(|place| place.group == *group && place.epoch == *epoch) {
+                let membership = actor.entry.membership.as_ref();
+                if membership
+                    .is_some_and(|membership| membership.group == *group && membership.epoch == *epoch)
+                {
                     match order {
                         Order::Leave(..) => {
                             actor.entry.membership = None;
@@ -596,76 +616,77 @@
                         }
                         _ => actor.entry.membership.as_mut().unwrap().phase = Phase::Ready,
                     }
-                    actor.ready = None;
+                    actor.ready_at = None;
                     actor.loading = None;
                 }
                 true
             }
             Order::Stage(name) => {
-                actor.staging = Some(Load { model: name.clone(), left: seconds(find(name).load_time) });
+                actor.staging = Some(Load { model: name.clone(), remaining: seconds(find(name).load_time) });
                 self.loads += usize::from(self.serving);
                 true
             }
         };
-        self.tell(id);
+        self.write_entry(id);
         if let Order::Open(group, epoch) = order
-            && taken
+            && accepted
         {
             self.check_open(id, group, *epoch);
-            let members = self.actors[id].members.iter().map(|member| self.actors[member].places);
-            let opened = members.collect();
-            self.actors.get_mut(id).unwrap().opened = opened;
+            let changes = self.actors[id].members.iter().map(|member| self.actors[member].membership_changes);
+            let changes_at_open = changes.collect();
+            self.actors.get_mut(id).unwrap().changes_at_open = changes_at_open;
         }
-        taken
+        accepted
     }
 
-    fn account(&mut self) {
+    fn measure_service(&mut self) {
         let seconds = TICK.0 as f64 / 1000.0;
-        self.alive += self.actors.values().filter(|actor| actor.alive).count() as f64 * seconds;
+        self.runner_seconds += self.actors.values().filter(|actor| actor.alive).count() as f64 * seconds;
         for head in self.list_heads() {
-            if self.is_whole(&head) {
+            if self.is_complete(&head) {
                 let actor = &self.actors[&head];
                 let name = actor.model.clone().unwrap();
-                *self.served.entry(name).or_default() += actor.members.len() as f64 * seconds;
+                *self.served_seconds.entry(name).or_default() += actor.members.len() as f64 * seconds;
             }
         }
     }
 
-    /// Begins to count anew.
-    pub fn reset(&mut self) {
-        self.served.clear();
-        self.alive = 0.0;
+    /// Resets the counts of served time and loads.
+    pub fn reset_counts(&mut self) {
+        self.served_seconds.clear();
+        self.runner_seconds = 0.0;
         self.loads = 0;
     }
 
-    /// The part of all runners' time that members of open groups of a model served.
-    pub fn part(&self, name: &str) -> f64 {
+    /// Returns the ratio of the time of all runners that members of open groups of a model served.
+    pub fn served_ratio(&self, name: &str) -> f64 {
         let name: id::Model = name.parse().unwrap();
-        self.served.get(&name).copied().unwrap_or(0.0) / self.alive
+        self.served_seconds.get(&name).copied().unwrap_or(0.0) / self.runner_seconds
     }
 
-    /// Open groups of a model.
+    /// Returns the number of complete open groups of a model.
     pub fn count_open(&self, name: &str) -> usize {
         let heads = self.list_heads();
-        let here = |head: &&id::Runner| self.actors[*head].model.as_ref().unwrap().as_str() == name;
-        heads.iter().filter(here).filter(|head| self.is_whole(head)).count()
+        let serves = |head: &&id::Runner| self.actors[*head].model.as_ref().unwrap().as_str() == name;
+        heads.iter().filter(serves).filter(|head| self.is_complete(head)).count()
     }
 
-    /// Runs a fleet through `span` in which a hall loses `count` runners every `pause`,
-    /// and as many empty ones come, as the domains need them, eleven seconds later.
-    pub fn lose_by_turns(&mut self, halls: usize, count: usize, pause: Millis, span: Millis) {
+    /// Runs the fleet for `span`. Every `pause` the next hall loses `count` runners; from the fifth
+    /// loss on, as many empty runners are added to random domains each time: they replace runners that
+    /// were lost about eleven seconds before.
+    pub fn lose_in_turn(&mut self, halls: usize, count: usize, pause: Millis, span: Millis) {
         let domains =
             self.actors.values().filter_map(|actor| actor.entry.domain.clone()).collect::<HashSet<_>>();
         let domains = domains.len();
-        let turns = span.0 / pause.0;
-        for _ in 0..turns {
-            let turn = self.turns;
-            self.turns += 1;
-            self.lose(turn as usize % halls, count);
-            if turn >= 4 {
+        let rounds = span.0 / pause.0;
+        for _ in 0..rounds {
+            let round = self.rounds;
+            self.rounds += 1;
+            self.lose(round as usize % halls, count);
+            if round >= 4 {
                 for _ in 0..count {
                     let domain = self.rng.random_range(0..domains);
-                    self.add(domain);
+                    self.add_runner(domain);
                 }
             }
             self.run(pause);
