--- a/crates/fleet/tests/form.rs
+++ b/crates/fleet/tests/form.rs
@@ -109,13 +109,13 @@
     let group = world.groups().next().unwrap().clone();
     let mut partial = step.clone();
     partial.orders.retain(|(id, order)| matches!(order, Order::Join(..)) && group.members[1..].contains(id));
-    world.obey(&partial);
+    world.execute(&partial);
     world.now = world.now + Millis(200);
     let opens = |step: &Step| step.orders.iter().any(|(_, order)| matches!(order, Order::Open(..)));
     assert!(!opens(&world.step()));
     let mut rest = step;
     rest.orders.retain(|(id, _)| *id == group.members[0]);
-    world.obey(&rest);
+    world.execute(&rest);
     world.now = world.now + Millis(200);
     let step = world.step();
     assert!(opens(&step));
@@ -164,7 +164,7 @@
 #[test]
 fn what_is_left_of_a_large_group_is_completed_by_a_small_one_without_a_load() {
     let mut world = at_rest(6);
-    world.loading = true;
+    world.hang_loads = true;
     let first = world.find("large");
     let domain = |world: &World, group: &Group| {
         world.plans.iter().find(|(_, plan)| plan.groups.contains(group)).map(|(id, _)| id.clone()).unwrap()
@@ -204,9 +204,9 @@
 #[test]
 fn small_groups_are_kept_while_there_are_few_of_them() {
     let mut world = at_rest(6);
-    world.loading = true;
+    world.hang_loads = true;
     let site = world.plans.keys().next().unwrap().clone();
-    world.lose_spares(&site);
+    world.crash_spares(&site);
     let before = world.plans[&site].groups.len();
     // In all other domains the runners of small groups start anew, with nothing loaded.
     let others = world.plans.keys().enumerate().filter(|(_, id)| **id != site);
@@ -232,7 +232,7 @@
 #[test]
 fn free_runners_that_hold_the_large_model_form_a_group_though_enough_are_open() {
     let mut world = at_rest(6);
-    world.loading = true;
+    world.hang_loads = true;
     let lost = world.find("large");
     let site = world.plans.iter().find(|(_, plan)| plan.groups.contains(&lost)).map(|(id, _)| id.clone());
     let site = site.unwrap();
@@ -255,9 +255,9 @@
 #[test]
 fn a_small_group_is_kept_where_its_members_do_not_complete_a_large_one() {
     let mut world = at_rest(6);
-    world.loading = true;
+    world.hang_loads = true;
     let site = world.plans.keys().next().unwrap().clone();
-    world.lose_spares(&site);
+    world.crash_spares(&site);
     let groups = world.plans[&site].groups.clone();
     let small =
         groups.iter().filter(|group| group.model.as_str() == "small").flat_map(|group| &group.members);
--- a/crates/fleet/tests/incarnations.rs
+++ b/crates/fleet/tests/incarnations.rs
@@ -11,10 +11,11 @@
 use cottoncrank_fleet::roster::{Roster, Update};
 use cottoncrank_fleet::runner::{Incarnation, Phase, Runner};
 use cottoncrank_fleet::stall::Stalls;
-use instant::{FIRST, World, at_rest, runner};
+use instant::{FIRST_INCARNATION, World, at_rest, runner};
 
 /// How a new life becomes known.
-const WAYS: [fn(&mut World, &id::Runner) -> Incarnation; 2] = [World::restart, World::restart_unwritten];
+const RESTARTS: [fn(&mut World, &id::Runner) -> Incarnation; 2] =
+    [World::restart, World::restart_without_entry];
 
 /// A group that serves again, none of whose members is planned in a former life.
 fn assert_served(world: &World, model: &str, groups: usize) {
@@ -40,7 +41,7 @@
 
 #[test]
 fn what_a_runner_served_in_a_former_life_is_forgotten() {
-    for restart in WAYS {
+    for restart in RESTARTS {
         let mut world = at_rest(6);
         let member = world.find("large").members[1].clone();
         let model: id::Model = "large".parse().unwrap();
@@ -60,12 +61,12 @@
     let mut world = at_rest(6);
     let group = world.find("large");
     let old = world.roster.get(&group.members[2]).unwrap().clone();
-    let life = world.restart_unwritten(&old.id);
+    let life = world.restart_without_entry(&old.id);
     assert_eq!(world.roster.insert(old.clone()), Update::Outdated);
     assert_eq!(world.roster.get(&old.id).unwrap().incarnation, Some(life));
     assert!(world.roster.get(&old.id).unwrap().membership.is_none());
     // Nor do they where the entry lapsed in between.
-    world.lapse(&old.id);
+    world.remove_entry(&old.id);
     assert_eq!(world.roster.insert(old.clone()), Update::Outdated);
     assert!(world.roster.get(&old.id).is_none());
     let mut fresh = runner(0, 0);
@@ -80,12 +81,12 @@
     let mut untold = world.roster.get(&known).unwrap().clone();
     untold.incarnation = None;
     assert_eq!(world.roster.insert(untold), Update::Current);
-    assert_eq!(world.roster.get(&known).unwrap().incarnation, Some(FIRST));
+    assert_eq!(world.roster.get(&known).unwrap().incarnation, Some(FIRST_INCARNATION));
 }
 
 #[test]
 fn a_group_whose_member_started_again_is_formed_anew() {
-    for restart in WAYS {
+    for restart in RESTARTS {
         for rank in 0..4 {
             let mut world = at_rest(6);
             let group = world.find("large");
@@ -103,7 +104,7 @@
 
 #[test]
 fn members_of_a_head_that_started_again_are_not_held() {
-    for restart in WAYS {
+    for restart in RESTARTS {
         let mut world = at_rest(6);
         let group = world.find("large");
         restart(&mut world, &group.members[0]);
@@ -114,7 +115,7 @@
 
 #[test]
 fn members_are_held_while_the_head_of_a_member_that_started_again_is_open() {
-    for restart in WAYS {
+    for restart in RESTARTS {
         let mut world = at_rest(6);
         let group = world.find("large");
         restart(&mut world, &group.members[3]);
@@ -130,7 +131,7 @@
 
 #[test]
 fn a_runner_that_started_again_while_joining_is_told_anew_at_once() {
-    for restart in WAYS {
+    for restart in RESTARTS {
         for rank in 0..2 {
             let mut world = World::new(1);
             let mut orders = Vec::new();
@@ -142,7 +143,7 @@
             let Order::Join(name, epoch, _, members) = &order else { panic!("{order:?}") };
             // All take the order, and one starts again before it is ready.
             for member in members {
-                world.memory.record_acknowledged(member, Some(FIRST), &order, world.now);
+                world.memory.record_acknowledged(member, Some(FIRST_INCARNATION), &order, world.now);
             }
             let member = members[rank.min(members.len() - 1)].clone();
             restart(&mut world, &member);
@@ -168,7 +169,7 @@
     let life = world.restart(&head);
     world.step();
     // The answer to an order comes late, from the life before.
-    world.memory.record_acknowledged(&head, Some(FIRST), &leave, world.now);
+    world.memory.record_acknowledged(&head, Some(FIRST_INCARNATION), &leave, world.now);
     let remembered = world.memory.count_entries();
     world.memory.record_acknowledged(&head, Some(life), &leave, world.now);
     assert!(world.memory.count_entries() > remembered, "only that of the present life counts");
@@ -177,7 +178,7 @@
 #[test]
 fn what_a_runner_was_told_to_stage_is_told_to_its_new_life() {
     let mut world = at_rest(6);
-    world.loading = true;
+    world.hang_loads = true;
     // A fresh spare runner comes, and is told to load a model.
     let spare = runner(0, 77);
     world.roster.insert(spare.clone());
@@ -189,7 +190,7 @@
             .iter()
             .filter(|(id, order)| *id == spare.id && matches!(order, Order::Stage(_)))
             .count();
-        world.obey(&step);
+        world.execute(&step);
         world.now = world.now + Millis(200);
     }
     assert_eq!(told, 1, "a load takes its time");
@@ -201,7 +202,7 @@
 
 #[test]
 fn a_closing_head_that_started_again_has_finished() {
-    for restart in WAYS {
+    for restart in RESTARTS {
         let mut world = at_rest(6);
         let group = world.find("small");
         let mut leaving: Runner = world.roster.get(&group.members[1]).unwrap().clone();
@@ -218,7 +219,7 @@
 
 #[test]
 fn a_member_of_a_group_given_up_does_not_end_the_wait_for_its_head() {
-    for restart in WAYS {
+    for restart in RESTARTS {
         let mut world = at_rest(6);
         let group = world.find("large");
         world.crash(&group.members[0]);
@@ -231,7 +232,7 @@
 
 #[test]
 fn the_next_decider_knows_from_the_plan_which_life_was_meant() {
-    for restart in WAYS {
+    for restart in RESTARTS {
         for rank in [0, 2] {
             let mut world = at_rest(6);
             let group = world.find("large");
@@ -275,7 +276,7 @@
     // The head has started again and refuses: it is in no group. Nothing else is known.
     world.now = world.now + REPEAT_INTERVAL;
     assert!(world.step().orders.contains(&(group.members[0].clone(), close)));
-    world.restart_unwritten(&group.members[0]);
+    world.restart_without_entry(&group.members[0]);
     world.run(1);
     assert!(!is_planned(&world, &group));
 }
@@ -288,7 +289,7 @@
     world.probe(&[]);
     assert_eq!(world.probes.health(&member), Health::Slow);
     world.slow.clear();
-    world.restart_unwritten(&member);
+    world.restart_without_entry(&member);
     assert_eq!(world.probes.health(&member), Health::Responsive);
 }
 
@@ -298,8 +299,8 @@
     let count = |roster: &Roster| roster.list_plain(&service).len();
     let mut roster = Roster::default();
     roster.insert(runner(0, 0));
-    assert!(roster.record_leaving(&id, Some(FIRST)));
-    assert!(!roster.record_leaving(&id, Some(FIRST)), "it is known already");
+    assert!(roster.record_leaving(&id, Some(FIRST_INCARNATION)));
+    assert!(!roster.record_leaving(&id, Some(FIRST_INCARNATION)), "it is known already");
     assert_eq!(count(&roster), 0);
     // Its entry lags behind, lapses, and comes back.
     roster.insert(runner(0, 0));
@@ -307,10 +308,13 @@
     roster.remove(&id, Millis(10_000));
     roster.insert(runner(0, 0));
     assert_eq!(count(&roster), 0);
-    let later = Incarnation(FIRST.0 + 1);
+    let later = Incarnation(FIRST_INCARNATION.0 + 1);
     roster.insert(Runner { incarnation: Some(later), ..runner(0, 0) });
     assert_eq!(count(&roster), 1, "it has started again");
-    assert!(!roster.record_leaving(&id, Some(FIRST)), "an answer of its former life says nothing");
+    assert!(
+        !roster.record_leaving(&id, Some(FIRST_INCARNATION)),
+        "an answer of its former life says nothing"
+    );
     assert_eq!(count(&roster), 1);
     assert!(roster.record_leaving(&id, None), "where lives are not told, it is about this one");
     assert!(!roster.record_leaving(&"r9-9".parse().unwrap(), None), "nobody knows it");
@@ -321,8 +325,8 @@
     let (service, id) = ("llm".parse().unwrap(), runner(0, 0).id);
     let mut roster = Roster::default();
     roster.insert(runner(0, 0));
-    roster.record_leaving(&id, Some(FIRST));
-    assert!(roster.record_incarnation(&id, Incarnation(FIRST.0 + 1)));
+    roster.record_leaving(&id, Some(FIRST_INCARNATION));
+    assert!(roster.record_incarnation(&id, Incarnation(FIRST_INCARNATION.0 + 1)));
     assert_eq!(roster.list_plain(&service).len(), 1);
 }
 
@@ -335,14 +339,21 @@
         ..runner(0, 0)
     };
     let mut roster = Roster::default();
-    roster.insert(told(Some(3), Some(FIRST), &["large"]));
-    assert_eq!(roster.insert(told(Some(2), Some(FIRST), &[])), Update::Outdated);
+    roster.insert(told(Some(3), Some(FIRST_INCARNATION), &["large"]));
+    assert_eq!(roster.insert(told(Some(2), Some(FIRST_INCARNATION), &[])), Update::Outdated);
     assert_eq!(roster.get(&runner(0, 0).id).unwrap().staged.len(), 1);
-    assert_eq!(roster.insert(told(Some(3), Some(FIRST), &[])), Update::Current, "a change without an order");
-    assert_eq!(roster.insert(told(None, Some(FIRST), &[])), Update::Current, "it does not say");
+    assert_eq!(
+        roster.insert(told(Some(3), Some(FIRST_INCARNATION), &[])),
+        Update::Current,
+        "a change without an order"
+    );
+    assert_eq!(roster.insert(told(None, Some(FIRST_INCARNATION), &[])), Update::Current, "it does not say");
     // In a later life it counts anew, and where lives are not told nothing can be concluded.
-    roster.insert(told(Some(3), Some(FIRST), &[]));
-    assert_eq!(roster.insert(told(Some(0), Some(Incarnation(FIRST.0 + 1)), &[])), Update::Restarted);
+    roster.insert(told(Some(3), Some(FIRST_INCARNATION), &[]));
+    assert_eq!(
+        roster.insert(told(Some(0), Some(Incarnation(FIRST_INCARNATION.0 + 1)), &[])),
+        Update::Restarted
+    );
     assert_eq!(roster.insert(told(Some(4), None, &[])), Update::Current);
     assert_eq!(roster.insert(told(Some(1), None, &[])), Update::Current);
 }
--- a/crates/fleet/tests/instant/mod.rs
+++ b/crates/fleet/tests/instant/mod.rs
@@ -1,4 +1,4 @@
-//! A fleet on a set clock that carries out at once what is decided.
+//! A simulated fleet that executes the planner's orders at once, on a simulated clock.
 
 #![allow(dead_code, reason = "each test file uses a part of this module")]
 
@@ -17,13 +17,13 @@
 use cottoncrank_fleet::settings::Ceiling;
 use cottoncrank_fleet::snapshot::Snapshot;
 
-/// After this long a group that stands still is broken.
+/// The time after which a stalled group is broken.
 pub const STALL: Millis = Millis(6000);
 
-/// How fast runners may load.
+/// The limit on the rate of loads.
 pub const CEILING: Ceiling = Ceiling { window: Millis(5000), overshoot: 1.1 };
 
-/// A fleet that carries out what is decided, and the decider's memory of it.
+/// A simulated fleet, and what its decider knows of it.
 pub struct World {
     pub service: Service,
     pub roster: Roster,
@@ -32,21 +32,22 @@
     pub probes: Probes,
     pub dead: HashSet<id::Runner>,
     pub slow: HashSet<id::Runner>,
-    /// Runners at whose address another one answers.
-    pub reborn: HashSet<id::Runner>,
-    /// The lives that runners tell when they are asked.
-    pub told: HashMap<id::Runner, Incarnation>,
-    /// Runners that turn requests away, and what is in flight at each group, if that is known.
-    pub refusing: BTreeSet<id::Runner>,
+    /// Runners at whose address another one answers: their processes have ended.
+    pub replaced: HashSet<id::Runner>,
+    /// The incarnations that runners report when they are probed.
+    pub reported_incarnations: HashMap<id::Runner, Incarnation>,
+    /// Runners that reject requests.
+    pub rejecting: BTreeSet<id::Runner>,
+    /// The requests in flight at each group, if known.
     pub in_flight: Option<Counts>,
     pub serving: bool,
-    /// Whether loads begun now take longer than the test.
-    pub loading: bool,
+    /// Whether loads that begin now do not end before the test does.
+    pub hang_loads: bool,
     pub now: Millis,
 }
 
-/// The first life of every runner.
-pub const FIRST: Incarnation = Incarnation(1_700_000_000_000);
+/// The first incarnation of every runner.
+pub const FIRST_INCARNATION: Incarnation = Incarnation(1_700_000_000_000);
 
 pub fn model(name: &str, size: usize, load: u64, warm: u64) -> Model {
     let (load, warm) = (Millis(load), Millis(warm));
@@ -72,14 +73,14 @@
         release: None,
         orders: None,
         served: None,
-        incarnation: Some(FIRST),
+        incarnation: Some(FIRST_INCARNATION),
         staged: Vec::new(),
         membership: None,
     }
 }
 
 impl World {
-    /// A fleet of `domains` of ten runners.
+    /// Returns a fleet of `domains` domains of ten runners each.
     pub fn new(domains: usize) -> World {
         let mut roster = Roster::default();
         for domain in 0..domains {
@@ -95,17 +96,17 @@
             probes: Probes::default(),
             dead: HashSet::new(),
             slow: HashSet::new(),
-            reborn: HashSet::new(),
-            told: HashMap::new(),
-            refusing: BTreeSet::new(),
+            replaced: HashSet::new(),
+            reported_incarnations: HashMap::new(),
+            rejecting: BTreeSet::new(),
             in_flight: None,
             serving: false,
-            loading: false,
+            hang_loads: false,
             now: Millis(1_000_000),
         }
     }
 
-    /// Rounds of questions in which these runners do not answer.
+    /// Records two rounds of probes that the `silent` runners do not answer.
     pub fn probe(&mut self, silent: &[id::Runner]) {
         let members: Vec<id::Runner> = self.groups().flat_map(|group| group.members.clone()).collect();
         let answer = |runner: &id::Runner| Answer {
@@ -115,18 +116,18 @@
                 silent.contains(runner) || self.dead.contains(runner),
                 self.slow.contains(runner),
             ) {
-                _ if self.reborn.contains(runner) => Observation::Gone,
+                _ if self.replaced.contains(runner) => Observation::Gone,
                 (true, _) => Observation::Silent,
                 (false, true) => Observation::Pace(12.0),
                 (false, false) => Observation::Pace(1.0),
             },
-            incarnation: self.told.get(runner).copied(),
+            incarnation: self.reported_incarnations.get(runner).copied(),
             asked: 1,
         };
         let round: Vec<Answer> = members.iter().map(answer).collect();
         for answer in &round {
-            if let Some(life) = answer.incarnation {
-                self.roster.record_incarnation(&answer.runner, life);
+            if let Some(incarnation) = answer.incarnation {
+                self.roster.record_incarnation(&answer.runner, incarnation);
             }
         }
         self.probes.record_round(&round);
@@ -134,7 +135,7 @@
     }
 
     pub fn step(&mut self) -> Step {
-        let scene = Snapshot {
+        let snapshot = Snapshot {
             service: &self.service,
             roster: &self.roster,
             plans: &self.plans,
@@ -144,18 +145,18 @@
             ceiling: &CEILING,
             stall: STALL,
             in_flight: self.in_flight.as_ref(),
-            rejecting: &self.refusing,
+            rejecting: &self.rejecting,
             now: self.now,
         };
-        let step = step(&scene, &mut self.memory);
+        let step = step(&snapshot, &mut self.memory);
         for (domain, document, _) in &step.writes {
             self.plans.insert(domain.clone(), document.clone());
         }
         step
     }
 
-    /// Carries orders out at once, as runners do that have nothing to load.
-    pub fn obey(&mut self, step: &Step) {
+    /// Executes the orders of a step at once, as runners do that have nothing to load.
+    pub fn execute(&mut self, step: &Step) {
         for (id, order) in &step.orders {
             let Some(mut runner) = self.roster.get(id).cloned() else { continue };
             match order {
@@ -174,7 +175,7 @@
                     runner.membership = None;
                     runner.models.clear();
                 }
-                Order::Stage(_) if self.loading => {}
+                Order::Stage(_) if self.hang_loads => {}
                 Order::Stage(model) => runner.staged = vec![model.clone()],
             }
             self.roster.insert(runner);
@@ -190,7 +191,7 @@
     pub fn run(&mut self, rounds: usize) {
         for _ in 0..rounds {
             let step = self.step();
-            self.obey(&step);
+            self.execute(&step);
             self.now = self.now + Millis(200);
         }
     }
@@ -207,46 +208,46 @@
         self.groups().find(|group| !group.is_retired() && group.model.as_str() == model).unwrap().clone()
     }
 
-    /// The entry of a runner lapses.
-    pub fn lapse(&mut self, id: &id::Runner) {
+    /// Removes the entry of a runner.
+    pub fn remove_entry(&mut self, id: &id::Runner) {
         self.roster.remove(id, self.now);
     }
 
-    /// A runner starts again under its id, and its entry tells of it.
+    /// Restarts a runner under its id, with an entry that shows the new incarnation.
     pub fn restart(&mut self, id: &id::Runner) -> Incarnation {
         let mut runner = self.roster.get_last_known(id).unwrap().clone();
-        let life = Incarnation(runner.incarnation.unwrap().0 + 300);
-        runner.restart(life);
-        self.told.insert(id.clone(), life);
+        let incarnation = Incarnation(runner.incarnation.unwrap().0 + 300);
+        runner.restart(incarnation);
+        self.reported_incarnations.insert(id.clone(), incarnation);
         self.roster.insert(runner);
-        life
+        incarnation
     }
 
-    /// A runner starts again under its id, and says so when it is asked.
-    pub fn restart_unwritten(&mut self, id: &id::Runner) -> Incarnation {
-        let life = Incarnation(self.roster.get_last_known(id).unwrap().incarnation.unwrap().0 + 300);
-        self.told.insert(id.clone(), life);
+    /// Restarts a runner under its id; only its answers to probes show the new incarnation.
+    pub fn restart_without_entry(&mut self, id: &id::Runner) -> Incarnation {
+        let incarnation = Incarnation(self.roster.get_last_known(id).unwrap().incarnation.unwrap().0 + 300);
+        self.reported_incarnations.insert(id.clone(), incarnation);
         self.probe(&[]);
-        life
+        incarnation
     }
 
-    /// A runner is gone for good.
+    /// Ends a runner for good: its entry is removed and it does not answer.
     pub fn crash(&mut self, id: &id::Runner) {
-        self.lapse(id);
+        self.remove_entry(id);
         self.dead.insert(id.clone());
         self.probe(&[]);
     }
 
-    /// The free runners of a domain are gone for good.
-    pub fn lose_spares(&mut self, domain: &id::Domain) {
-        let here = self.list_free().into_iter().filter(|runner| runner.domain.as_ref() == Some(domain));
-        let spare: Vec<id::Runner> = here.map(|runner| runner.id.clone()).collect();
-        for id in &spare {
+    /// Ends the free runners of a domain for good.
+    pub fn crash_spares(&mut self, domain: &id::Domain) {
+        let free = self.list_free().into_iter().filter(|runner| runner.domain.as_ref() == Some(domain));
+        let spares: Vec<id::Runner> = free.map(|runner| runner.id.clone()).collect();
+        for id in &spares {
             self.crash(id);
         }
     }
 
-    /// The runners that no group is planned with.
+    /// Returns the runners that are in no planned group, sorted by id.
     pub fn list_free(&self) -> Vec<&Runner> {
         let planned: HashSet<&id::Runner> = self.groups().flat_map(|group| &group.members).collect();
         let mut free: Vec<&Runner> =
@@ -260,7 +261,8 @@
     }
 }
 
-/// A fleet at rest: groups open, spare runners staged, callers there.
+/// Returns a fleet in its steady state: groups are open, models are staged on spare runners, and callers
+/// are present.
 pub fn at_rest(domains: usize) -> World {
     let mut world = World::new(domains);
     world.run(60);
--- a/crates/fleet/tests/loss.rs
+++ b/crates/fleet/tests/loss.rs
@@ -59,7 +59,7 @@
     let step = world.step();
     let leave = Order::Leave(group.name.clone(), group.epoch);
     assert!(step.orders.contains(&(group.members[1].clone(), leave.clone())));
-    world.obey(&step);
+    world.execute(&step);
     world.now = world.now + Millis(1000);
     world.step();
     assert!(world.groups().any(|known| known.name == group.name && known.is_retired()));
@@ -67,7 +67,7 @@
     world.probe(&[]);
     let step = world.step();
     assert!(step.orders.contains(&(group.members[0].clone(), leave)));
-    world.obey(&step);
+    world.execute(&step);
     world.now = world.now + Millis(200);
     world.step();
     assert!(!world.groups().any(|known| known.name == group.name));
@@ -84,7 +84,7 @@
     }
     world.run(2);
     assert!(planned(&world), "the head may be cut off and open");
-    world.reborn.insert(group.members[0].clone());
+    world.replaced.insert(group.members[0].clone());
     world.probe(&[]);
     world.run(1);
     assert!(!planned(&world), "the head is no more");
@@ -143,7 +143,7 @@
     let close = Order::Close(group.name.clone(), group.epoch);
     assert!(step.orders.contains(&(group.members[0].clone(), close)), "{:?}", step.orders);
     assert!(!step.orders.iter().any(|(_, order)| matches!(order, Order::Leave(..))));
-    world.obey(&step);
+    world.execute(&step);
     world.now = world.now + Millis(200);
     let step = world.step();
     let leave = Order::Leave(group.name.clone(), group.epoch);
@@ -187,8 +187,8 @@
     let mut world = at_rest(6);
     let (kept, lost) = (world.find("large"), world.find("small"));
     world.probe(&[]);
-    world.lapse(&kept.members[2]);
-    world.lapse(&lost.members[0]);
+    world.remove_entry(&kept.members[2]);
+    world.remove_entry(&lost.members[0]);
     world.step();
     let is_retired = |world: &World, group: &Group| {
         world.groups().all(|known| known.name != group.name || known.is_retired())
@@ -206,7 +206,7 @@
     let members: Vec<id::Runner> = world.groups().flat_map(|group| group.members.clone()).collect();
     world.probe(&members);
     for member in &members {
-        world.lapse(member);
+        world.remove_entry(member);
     }
     let step = world.step();
     assert!(step.writes.is_empty(), "{:?}", step.writes.iter().map(|write| &write.2).collect::<Vec<_>>());
@@ -218,7 +218,7 @@
     let mut world = at_rest(6);
     let group = world.find("large");
     world.probe(&[]);
-    world.lapse(&group.members[0]);
+    world.remove_entry(&group.members[0]);
     let step = world.step();
     let close = Order::Close(group.name.clone(), group.epoch);
     assert!(step.orders.contains(&(group.members[0].clone(), close)), "it finishes first: {:?}", step.orders);
@@ -236,7 +236,7 @@
 fn a_new_decider_asks_before_it_gives_a_group_up() {
     let mut world = at_rest(6);
     let group = world.find("large");
-    world.lapse(&group.members[2]);
+    world.remove_entry(&group.members[2]);
     world.memory = Memory::default();
     world.probes = Probes::default();
     world.step();
@@ -256,7 +256,7 @@
     let step = world.step();
     let leave = Order::Leave(group.name.clone(), group.epoch);
     assert!(step.orders.contains(&(group.members[0].clone(), leave)), "its streams go on elsewhere");
-    world.obey(&step);
+    world.execute(&step);
     world.run(20);
     assert_eq!(world.count("large"), 6);
     assert!(world.groups().all(|known| known.is_retired() || !known.members.contains(&slow)));
@@ -288,12 +288,12 @@
 #[test]
 fn a_group_whose_entries_are_all_gone_holds_its_members_while_they_may_live() {
     let mut world = at_rest(1);
-    world.loading = true;
+    world.hang_loads = true;
     let group = world.find("small");
     let (head, member) = (group.members[0].clone(), group.members[1].clone());
     let returning = world.roster.get(&member).unwrap().clone();
     for id in &group.members {
-        world.lapse(id);
+        world.remove_entry(id);
     }
     world.probe(&[]);
     world.run(3);
@@ -305,7 +305,7 @@
     assert!(!taken(&world), "{:?}", world.plans);
     // Without its member the head has broken after a time, and another runner comes.
     world.roster.insert(runner(0, 50));
-    world.loading = false;
+    world.hang_loads = false;
     world.now = world.now + STALL + STALL_MARGIN;
     world.probe(&[head]);
     world.run(10);
--- a/crates/fleet/tests/refusals.rs
+++ b/crates/fleet/tests/refusals.rs
@@ -22,7 +22,7 @@
 /// others are half full.
 fn refusing(group: &Group, running: u32) -> World {
     let mut world = at_rest(6);
-    world.refusing = [group.members[0].clone()].into();
+    world.rejecting = [group.members[0].clone()].into();
     let mut in_flight: Counts = world.groups().map(|other| (other.epoch, 5)).collect();
     in_flight.insert(group.epoch, running);
     world.in_flight = Some(in_flight);
@@ -43,7 +43,7 @@
         world.run(10);
         let is_new = |known: &&Group| known.model == group.model && !before.contains(known);
         let formed = world.groups().find(is_new).unwrap_or_else(|| panic!("{model}: none is formed anew"));
-        assert!(!world.refusing.contains(&formed.members[0]), "{model}: {formed:?}");
+        assert!(!world.rejecting.contains(&formed.members[0]), "{model}: {formed:?}");
         assert_eq!(world.phase(&formed.members[0]), Some(Phase::Open), "{model}");
     }
 }
@@ -64,7 +64,7 @@
 fn a_group_whose_members_all_turn_requests_away_is_left_alone() {
     let group = at_rest(6).find("small");
     let mut world = refusing(&group, 0);
-    world.refusing = world.roster.iter().map(|runner| runner.id.clone()).collect::<BTreeSet<_>>();
+    world.rejecting = world.roster.iter().map(|runner| runner.id.clone()).collect::<BTreeSet<_>>();
     world.run(20);
     assert_eq!(find_of(&world, &group.members[0]).map(|known| known.epoch), Some(group.epoch));
 }
--- a/crates/fleet/tests/staging.rs
+++ b/crates/fleet/tests/staging.rs
@@ -53,7 +53,7 @@
             };
             begun.extend(loads.then_some(world.now));
         }
-        world.obey(&step);
+        world.execute(&step);
         world.now = world.now + Millis(50);
     }
     let most = 5.0 * 5.0 * CEILING.overshoot + 3.0;
@@ -78,7 +78,7 @@
             }
         }
         step.orders.retain(|(_, order)| !matches!(order, Order::Stage(_)));
-        world.obey(&step);
+        world.execute(&step);
         world.now = world.now + Millis(200);
     }
     assert!(!asked.is_empty());
@@ -102,7 +102,7 @@
 #[test]
 fn a_member_of_a_small_group_loads_what_is_left_of_a_large_one_needs() {
     let mut world = at_rest(6);
-    world.loading = true;
+    world.hang_loads = true;
     // Nobody holds the large model beside what he serves, as on a fleet whose callers
     // came before that could be loaded.
     let groups = world.groups().filter(|group| group.model.as_str() == "small");
@@ -114,7 +114,7 @@
     }
     world.memory = Memory::default();
     let (site, plan) = world.plans.iter().next().map(|(id, plan)| (id.clone(), plan.clone())).unwrap();
-    world.lose_spares(&site);
+    world.crash_spares(&site);
     let large = plan.groups.iter().find(|group| group.model.as_str() == "large").unwrap();
     world.crash(&large.members[1]);
     let mut loading = Vec::new();
@@ -124,7 +124,7 @@
             Order::Stage(model) if model.as_str() == "large" => Some(id.clone()),
             _ => None,
         }));
-        world.obey(&step);
+        world.execute(&step);
         world.now = world.now + Millis(200);
     }
     let here: Vec<&id::Runner> =
@@ -146,7 +146,7 @@
         preloaded |= step.orders.iter().any(|(id, order)| {
             *id == long.id && matches!(order, Order::Join(.., members) if members.len() == 1)
         });
-        world.obey(&step);
+        world.execute(&step);
         world.now = world.now + Millis(200);
     }
     assert!(preloaded || world.groups().any(|group| group.members.contains(&long.id)));
--- a/crates/fleet/tests/world/mod.rs
+++ b/crates/fleet/tests/world/mod.rs
@@ -94,7 +94,7 @@
     rng: SmallRng,
     runner_count: usize,
     domains_per_hall: usize,
-    rounds: u64,
+    turns: u64,
     /// The seconds that members of open groups served, by model, and the seconds of all runners.
     pub served_seconds: HashMap<id::Model, f64>,
     pub runner_seconds: f64,
@@ -141,7 +141,7 @@
             deciding: true,
             rng: SmallRng::seed_from_u64(seed),
             domains_per_hall,
-            rounds: 0,
+            turns: 0,
             runner_count: 0,
             served_seconds: HashMap::new(),
             runner_seconds: 0.0,
@@ -678,12 +678,12 @@
         let domains =
             self.actors.values().filter_map(|actor| actor.entry.domain.clone()).collect::<HashSet<_>>();
         let domains = domains.len();
-        let rounds = span.0 / pause.0;
-        for _ in 0..rounds {
-            let round = self.rounds;
-            self.rounds += 1;
-            self.lose(round as usize % halls, count);
-            if round >= 4 {
+        let turns = span.0 / pause.0;
+        for _ in 0..turns {
+            let turn = self.turns;
+            self.turns += 1;
+            self.lose(turn as usize % halls, count);
+            if turn >= 4 {
                 for _ in 0..count {
                     let domain = self.rng.random_range(0..domains);
                     self.add_runner(domain);
