--- a/crates/fleet/tests/adopt.rs
+++ b/crates/fleet/tests/adopt.rs
@@ -1,4 +1,4 @@
-//! Groups that serve and whose plan was lost, on a set clock.
+//! Adoption of groups that serve but whose plan was lost, on a simulated clock.
 
 mod instant;
 
@@ -7,7 +7,7 @@
 use cottoncrank_fleet::runner::Epoch;
 use instant::{World, at_rest, runner};
 
-fn find(world: &World, plans: &Plans) -> Adoption {
+fn find_adoption(world: &World, plans: &Plans) -> Adoption {
     adopt(std::slice::from_ref(&world.service), &world.roster, plans)
 }
 
@@ -18,9 +18,9 @@
 }
 
 #[test]
-fn groups_in_no_plan_are_adopted_as_they_stand() {
+fn groups_in_no_plan_are_adopted_unchanged() {
     let world = at_rest(3);
-    let adoption = find(&world, &Plans::new());
+    let adoption = find_adoption(&world, &Plans::new());
     assert!(adoption.incomplete.is_empty(), "{adoption:?}");
     assert_eq!(adoption.plans.len(), world.plans.len());
     for (domain, found) in &adoption.plans {
@@ -32,16 +32,16 @@
 }
 
 #[test]
-fn where_no_plan_was_lost_nothing_is_adopted() {
+fn nothing_is_adopted_if_no_plan_was_lost() {
     let world = at_rest(3);
-    assert_eq!(find(&world, &world.plans), Adoption::default());
+    assert_eq!(find_adoption(&world, &world.plans), Adoption::default());
 }
 
 #[test]
-fn a_former_group_of_its_members_is_dropped() {
+fn a_planned_former_group_of_adopted_members_is_dropped() {
     let world = at_rest(1);
     let (domain, planned) = world.plans.iter().next().unwrap();
-    // As of before the last forming: its members stood in another group then.
+    // The plan before the last group was formed: its members were in another group.
     let last = sort(&planned.groups).pop().unwrap().clone();
     let mut groups: Vec<Group> =
         planned.groups.iter().filter(|group| group.epoch != last.epoch).cloned().collect();
@@ -49,7 +49,7 @@
     let former = Group { name: "former".parse().unwrap(), epoch: Epoch(1), ..last.clone() };
     groups.push(former);
     let older = Plans::from([(domain.clone(), Document { top, groups, version: 4 })]);
-    let adoption = find(&world, &older);
+    let adoption = find_adoption(&world, &older);
     let [(_, found)] = &adoption.plans[..] else { panic!("{adoption:?}") };
     assert!(found.groups.contains(&last));
     assert!(found.groups.iter().all(|group| group.name.as_str() != "former"));
@@ -57,14 +57,14 @@
 }
 
 #[test]
-fn a_domain_with_a_group_that_is_seen_in_part_is_left_alone() {
+fn a_domain_with_an_incomplete_group_is_not_adopted() {
     let mut world = at_rest(2);
     let missing = runner(0, 0).id;
     assert!(world.groups().any(|group| group.members.contains(&missing)));
     world.roster.remove(&missing, world.now);
-    let adoption = find(&world, &Plans::new());
+    let adoption = find_adoption(&world, &Plans::new());
     assert_eq!(adoption.incomplete.len(), 1, "{adoption:?}");
-    let whole = adoption.plans.iter().flat_map(|(_, plan)| &plan.groups);
-    assert!(whole.clone().count() > 0);
-    assert!(whole.clone().all(|group| !group.members.contains(&missing)));
+    let adopted = adoption.plans.iter().flat_map(|(_, plan)| &plan.groups);
+    assert!(adopted.clone().count() > 0);
+    assert!(adopted.clone().all(|group| !group.members.contains(&missing)));
 }
--- a/crates/fleet/tests/census.rs
+++ b/crates/fleet/tests/census.rs
@@ -1,4 +1,4 @@
-//! What the deciding node says of the runners that serve nobody.
+//! The counts of serving and idle runners that the decider logs.
 
 use std::collections::BTreeSet;
 
@@ -25,7 +25,7 @@
     Engine { models: vec![model], loads_per_second: 5.0, loads_at_once: 7, speed: Speed::default() }
 }
 
-fn runner(number: usize, place: Option<(u64, usize, Phase)>) -> Runner {
+fn runner(number: usize, membership: Option<(u64, usize, Phase)>) -> Runner {
     Runner {
         id: format!("r{number}").parse().unwrap(),
         service: "llm".parse().unwrap(),
@@ -40,7 +40,7 @@
         served: None,
         incarnation: None,
         staged: Vec::new(),
-        membership: place.map(|(group, rank, phase)| Membership {
+        membership: membership.map(|(group, rank, phase)| Membership {
             group: format!("g{group}").parse().unwrap(),
             epoch: Epoch(group),
             rank,
@@ -64,7 +64,7 @@
 
 fn count(roster: &Roster, plans: &Plans) -> Census {
     let service = Service { id: "llm".parse().unwrap(), engine: Some(engine()) };
-    let scene = Snapshot {
+    let snapshot = Snapshot {
         service: &service,
         roster,
         plans,
@@ -77,11 +77,11 @@
         rejecting: &BTreeSet::new(),
         now: Millis(1_000_000),
     };
-    census::count(&scene, &engine())
+    census::count(&snapshot, &engine())
 }
 
 #[test]
-fn every_runner_is_counted_once_by_what_it_does() {
+fn every_runner_is_counted_in_exactly_one_state() {
     let mut roster = Roster::default();
     roster.insert(runner(0, Some((1, 0, Phase::Open))));
     roster.insert(runner(1, Some((1, 1, Phase::Ready))));
--- a/crates/fleet/tests/form.rs
+++ b/crates/fleet/tests/form.rs
@@ -1,4 +1,4 @@
-//! Forming groups, and which of them: every step on a set clock.
+//! Formation of groups, and the choice of their models, on a simulated clock.
 
 mod instant;
 
@@ -13,20 +13,20 @@
 use instant::{World, at_rest, model, runner};
 
 #[test]
-fn a_fleet_forms_what_is_meant_and_what_is_over_is_staged() {
+fn a_fleet_forms_its_target_groups_and_stages_models_on_spare_runners() {
     let world = at_rest(6);
     assert_eq!((world.count("large"), world.count("small")), (6, 12));
     for domain in world.plans.keys() {
         let free = world.list_free();
-        let here = free.iter().filter(|runner| runner.domain.as_ref() == Some(domain));
-        let mut loaded: Vec<&str> = here.map(|runner| runner.served.as_ref().unwrap().as_str()).collect();
+        let spares = free.iter().filter(|runner| runner.domain.as_ref() == Some(domain));
+        let mut loaded: Vec<&str> = spares.map(|runner| runner.served.as_ref().unwrap().as_str()).collect();
         loaded.sort_unstable();
         assert_eq!(loaded, ["large", "small"], "{domain}: a spare runner of each model, preloaded");
     }
 }
 
 #[test]
-fn a_fleet_that_loses_nobody_lets_its_spare_runners_serve() {
+fn a_fleet_without_losses_lets_its_spare_runners_serve() {
     let mut world = at_rest(6);
     assert_eq!((world.count("large"), world.count("small")), (6, 12));
     for _ in 0..60 {
@@ -34,11 +34,15 @@
         world.run(1);
     }
     world.run(20);
-    assert_eq!((world.count("large"), world.count("small")), (6, 18), "sixty runners without a loss");
+    assert_eq!(
+        (world.count("large"), world.count("small")),
+        (6, 18),
+        "sixty runners without a loss for ten minutes"
+    );
 }
 
 #[test]
-fn any_number_of_models_shares_the_runners() {
+fn three_models_share_the_runners() {
     let mut world = World::new(6);
     let engine = world.service.engine.as_mut().unwrap();
     engine.models.push(model("tiny", 2, 12_000, 1100));
@@ -46,15 +50,15 @@
         model.share = 1.0 / 3.0;
     }
     world.run(80);
-    // 42 of 60 runners are placed, 14 of each model: 3.5 + 0.4 groups of four are three,
-    // and the last model gets what is left. Free runners beyond the spare ones hold a
-    // small model and form half as many groups of it again.
+    // 42 of 60 runners are placed, 14 for each model: 3.5 + 0.4 groups of four make three, and the
+    // last model gets the rest. Free runners beyond the spare ones hold a small model and form half
+    // as many groups of it again.
     assert_eq!((world.count("large"), world.count("small"), world.count("tiny")), (3, 11, 8));
 }
 
 #[test]
 fn small_groups_leave_room_for_a_large_one_in_each_domain() {
-    // Runners of a fleet that starts appear one by one, those of all domains by turns.
+    // The runners of a starting fleet appear one by one, in each domain in turn.
     let mut world = World::new(0);
     for number in 0..10 {
         for domain in 0..6 {
@@ -100,7 +104,7 @@
 }
 
 #[test]
-fn a_head_opens_only_when_every_member_was_seen_ready() {
+fn a_head_opens_only_after_every_member_was_seen_ready() {
     let mut world = World::new(1);
     let step = world.step();
     let joins = step.orders.iter().filter(|(_, order)| matches!(order, Order::Join(..))).count();
@@ -125,7 +129,7 @@
 }
 
 #[test]
-fn epochs_rise_over_all_domains_and_above_what_runners_have_seen() {
+fn epochs_rise_over_all_domains_and_exceed_those_that_runners_have_seen() {
     let mut world = World::new(2);
     let mut seen = runner(0, 10);
     seen.membership = Some(Membership {
@@ -142,15 +146,15 @@
 }
 
 #[test]
-fn what_is_left_of_a_group_keeps_its_model_until_it_is_completed() {
+fn the_remaining_members_of_a_group_keep_its_model_until_it_is_completed() {
     let mut world = at_rest(6);
     let group = world.find("large");
     let domain = world.roster.get(&group.members[0]).unwrap().domain.clone();
-    // The domain's spare runners are gone, then a member.
+    // The domain's spare runners are lost, then a member.
     let free = world.list_free();
-    let here = free.iter().filter(|runner| runner.domain == domain);
-    let spare: Vec<id::Runner> = here.map(|runner| runner.id.clone()).collect();
-    for id in spare.iter().chain(&group.members[2..3]) {
+    let free = free.iter().filter(|runner| runner.domain == domain);
+    let spares: Vec<id::Runner> = free.map(|runner| runner.id.clone()).collect();
+    for id in spares.iter().chain(&group.members[2..3]) {
         world.crash(id);
     }
     world.run(60);
@@ -162,39 +166,35 @@
 }
 
 #[test]
-fn what_is_left_of_a_large_group_is_completed_by_a_small_one_without_a_load() {
+fn the_rest_of_a_large_group_is_completed_by_a_small_one_without_a_load() {
     let mut world = at_rest(6);
     world.hang_loads = true;
     let first = world.find("large");
-    let domain = |world: &World, group: &Group| {
+    let find_domain = |world: &World, group: &Group| {
         world.plans.iter().find(|(_, plan)| plan.groups.contains(group)).map(|(id, _)| id.clone()).unwrap()
     };
-    let site = domain(&world, &first);
-    let small = world.plans[&site].groups.iter().filter(|group| group.model.as_str() == "small");
+    let domain_id = find_domain(&world, &first);
+    let small = world.plans[&domain_id].groups.iter().filter(|group| group.model.as_str() == "small");
     let before: Vec<id::Group> = small.map(|group| group.name.clone()).collect();
     // The first loss takes the spare runner, the second a member of a small group.
     for _ in 0..2 {
-        let groups = &world.plans[&site].groups;
+        let groups = &world.plans[&domain_id].groups;
         let large = groups.iter().find(|group| group.model.as_str() == "large" && !group.is_retired());
         let lost = large.unwrap().members[1].clone();
         world.crash(&lost);
         world.run(20);
-        assert_eq!(world.count("large"), 6, "{:?}", world.plans[&site]);
+        assert_eq!(world.count("large"), 6, "{:?}", world.plans[&domain_id]);
     }
-    let kept = before.iter().filter(|name| world.groups().any(|group| group.name == **name)).count();
-    assert_eq!(kept, 1, "one of the two small groups there was closed for it");
-    assert_eq!(
-        world.count("small"),
-        11,
-        "and no other one for the first loss, which the spare runner made up for"
-    );
-    let free = world.list_free().into_iter().filter(|runner| runner.domain.as_ref() == Some(&site));
+    let remaining = before.iter().filter(|name| world.groups().any(|group| group.name == **name)).count();
+    assert_eq!(remaining, 1, "one of the two small groups in the domain was closed for it");
+    assert_eq!(world.count("small"), 11, "no other one was closed: the spare runner replaced the first loss");
+    let free = world.list_free().into_iter().filter(|runner| runner.domain.as_ref() == Some(&domain_id));
     let holds_large = |runner: &&Runner| runner.staged.iter().any(|model| model.as_str() == "large");
     let (large, other): (Vec<&Runner>, Vec<&Runner>) = free.partition(holds_large);
     assert_eq!(
         (large.len(), other.len()),
         (1, 1),
-        "a spare runner of each model stands by for the next loss"
+        "a spare runner for each model is ready for the next loss"
     );
     let members: Vec<&id::Runner> = world.groups().flat_map(|group| &group.members).collect();
     let distinct: HashSet<&id::Runner> = members.iter().copied().collect();
@@ -205,11 +205,11 @@
 fn small_groups_are_kept_while_there_are_few_of_them() {
     let mut world = at_rest(6);
     world.hang_loads = true;
-    let site = world.plans.keys().next().unwrap().clone();
-    world.crash_spares(&site);
-    let before = world.plans[&site].groups.len();
-    // In all other domains the runners of small groups start anew, with nothing loaded.
-    let others = world.plans.keys().enumerate().filter(|(_, id)| **id != site);
+    let domain_id = world.plans.keys().next().unwrap().clone();
+    world.crash_spares(&domain_id);
+    let before = world.plans[&domain_id].groups.len();
+    // In all other domains, empty runners replace those of the small groups.
+    let others = world.plans.keys().enumerate().filter(|(_, id)| **id != domain_id);
     let numbered: Vec<(usize, id::Domain)> = others.map(|(at, id)| (at, id.clone())).collect();
     for (at, domain) in numbered {
         let groups = world.plans[&domain].groups.iter().filter(|group| group.model.as_str() == "small");
@@ -219,65 +219,67 @@
             world.roster.insert(runner(at, 100 + number));
         }
     }
-    let groups = world.plans[&site].groups.iter();
+    let groups = world.plans[&domain_id].groups.iter();
     let large = groups.clone().find(|group| group.model.as_str() == "large").unwrap();
     let lost = large.members[1].clone();
     world.crash(&lost);
     world.run(20);
     assert_eq!(world.count("large"), 5);
-    let kept = world.plans[&site].groups.iter().filter(|group| group.model.as_str() == "small").count();
-    assert_eq!(kept, before - 1, "callers of the small model need them");
+    let kept = world.plans[&domain_id].groups.iter().filter(|group| group.model.as_str() == "small").count();
+    assert_eq!(kept, before - 1, "callers of the small model need the others");
 }
 
 #[test]
-fn free_runners_that_hold_the_large_model_form_a_group_though_enough_are_open() {
+fn free_runners_that_hold_the_large_model_form_a_group_above_its_target() {
     let mut world = at_rest(6);
     world.hang_loads = true;
     let lost = world.find("large");
-    let site = world.plans.iter().find(|(_, plan)| plan.groups.contains(&lost)).map(|(id, _)| id.clone());
-    let site = site.unwrap();
-    // All spare runners are lost: five large groups are as many as meant now.
-    let spare: Vec<id::Runner> = world.list_free().into_iter().map(|runner| runner.id.clone()).collect();
-    for id in &spare {
+    let domain_id =
+        world.plans.iter().find(|(_, plan)| plan.groups.contains(&lost)).map(|(id, _)| id.clone());
+    let domain_id = domain_id.unwrap();
+    // All spare runners are lost, so that the target is five large groups now.
+    let spares: Vec<id::Runner> = world.list_free().into_iter().map(|runner| runner.id.clone()).collect();
+    for id in &spares {
         world.crash(id);
     }
-    // One group is closed without a loss: its members are free, and hold the model.
+    // One group is closed without a loss: its members are free and hold the model.
     for id in &lost.members {
         let mut runner = world.roster.get(id).unwrap().clone();
         runner.membership = None;
         world.roster.insert(runner);
     }
-    world.plans.get_mut(&site).unwrap().groups.retain(|group| group.name != lost.name);
+    world.plans.get_mut(&domain_id).unwrap().groups.retain(|group| group.name != lost.name);
     world.run(10);
-    assert_eq!(world.count("large"), 6, "{:?}", world.plans[&site]);
+    assert_eq!(world.count("large"), 6, "{:?}", world.plans[&domain_id]);
 }
 
 #[test]
-fn a_small_group_is_kept_where_its_members_do_not_complete_a_large_one() {
+fn a_small_group_is_kept_if_its_members_do_not_complete_a_large_one() {
     let mut world = at_rest(6);
     world.hang_loads = true;
-    let site = world.plans.keys().next().unwrap().clone();
-    world.crash_spares(&site);
-    let groups = world.plans[&site].groups.clone();
+    let domain_id = world.plans.keys().next().unwrap().clone();
+    world.crash_spares(&domain_id);
+    let groups = world.plans[&domain_id].groups.clone();
     let small =
         groups.iter().filter(|group| group.model.as_str() == "small").flat_map(|group| &group.members);
-    // One member of all small groups there holds the large model.
+    // Only one member of all small groups there holds the large model.
     for (at, id) in small.enumerate() {
         let mut runner = world.roster.get(id).unwrap().clone();
         runner.staged = vec![if at == 0 { "large" } else { "small" }.parse().unwrap()];
         world.roster.insert(runner);
     }
     world.memory = Memory::default();
-    // Another domain has lost its large group as a whole: that model lacks more.
-    let other = world.plans.iter().find(|(id, _)| **id != site).map(|(_, plan)| plan.groups.clone()).unwrap();
+    // Another domain loses its whole large group, so that the large model is further below its target.
+    let other =
+        world.plans.iter().find(|(id, _)| **id != domain_id).map(|(_, plan)| plan.groups.clone()).unwrap();
     let whole = other.iter().find(|group| group.model.as_str() == "large").unwrap();
     let large = groups.iter().find(|group| group.model.as_str() == "large").unwrap();
     for id in whole.members.iter().chain(&large.members[1..3]) {
         world.crash(id);
     }
     world.run(50);
-    let kept = world.plans[&site].groups.iter().filter(|group| group.model.as_str() == "small");
+    let kept = world.plans[&domain_id].groups.iter().filter(|group| group.model.as_str() == "small");
     let names: Vec<_> = kept.map(|group| &group.name).collect();
     let before = groups.iter().filter(|group| group.model.as_str() == "small");
-    assert_eq!(names, before.map(|group| &group.name).collect::<Vec<_>>(), "none is closed and formed anew");
+    assert_eq!(names, before.map(|group| &group.name).collect::<Vec<_>>(), "none is closed and formed again");
 }
--- a/crates/fleet/tests/loss.rs
+++ b/crates/fleet/tests/loss.rs
@@ -1,4 +1,4 @@
-//! Giving groups up, holding their members and forming them anew: every step on a set clock.
+//! Retirement of groups, release of their members and formation of new ones, on a simulated clock.
 
 mod instant;
 
@@ -20,8 +20,8 @@
 fn a_lost_member_is_replaced_by_the_staged_spare() {
     let mut world = at_rest(6);
     let spare = world.list_free()[0];
-    let site = spare.domain.clone().unwrap();
-    let groups = world.plans[&site].groups.iter();
+    let domain = spare.domain.clone().unwrap();
+    let groups = world.plans[&domain].groups.iter();
     let group = groups.clone().find(|group| group.model.as_str() == "large").unwrap().clone();
     world.crash(&group.members[2]);
     world.run(4);
@@ -29,13 +29,13 @@
     let formed = world.groups().find(|formed| {
         formed.members.contains(&group.members[0]) && formed.members.contains(&group.members[1])
     });
-    let formed = formed.expect("the survivors stand in a new group");
+    let formed = formed.expect("the remaining members are in a new group");
     assert!(formed.epoch > group.epoch);
     assert_eq!(world.phase(&formed.members[0]), Some(Phase::Open));
 }
 
 #[test]
-fn members_of_a_lost_head_are_held_until_it_must_be_broken() {
+fn members_of_a_lost_head_are_held_until_its_group_must_have_broken() {
     let mut world = at_rest(6);
     let group = world.find("large");
     world.crash(&group.members[0]);
@@ -63,7 +63,7 @@
     world.now = world.now + Millis(1000);
     world.step();
     assert!(world.groups().any(|known| known.name == group.name && known.is_retired()));
-    // It answers again: it is told to leave, and the members are free at once.
+    // Once it answers again it is ordered to leave, and the members are free at once.
     world.probe(&[]);
     let step = world.step();
     assert!(step.orders.contains(&(group.members[0].clone(), leave)));
@@ -74,24 +74,24 @@
 }
 
 #[test]
-fn a_group_is_over_at_once_when_another_runner_answers_at_the_address_of_its_head() {
+fn a_group_is_released_at_once_when_another_runner_answers_at_the_address_of_its_head() {
     let mut world = at_rest(6);
     let group = world.find("large");
     let planned = |world: &World| world.groups().any(|known| known.name == group.name);
-    // All members are gone, so no order to one of them shows that the head stands still.
+    // All members are lost, so no acknowledged order shows that the group is stalled.
     for id in &group.members {
         world.crash(id);
     }
     world.run(2);
-    assert!(planned(&world), "the head may be cut off and open");
+    assert!(planned(&world), "the head may be cut off and still open");
     world.replaced.insert(group.members[0].clone());
     world.probe(&[]);
     world.run(1);
-    assert!(!planned(&world), "the head is no more");
+    assert!(!planned(&world), "the process of the head has ended");
 }
 
 #[test]
-fn a_new_decider_waits_as_long_as_it_must() {
+fn a_new_decider_waits_for_the_whole_stall_time() {
     let mut world = at_rest(6);
     let group = world.find("large");
     world.crash(&group.members[0]);
@@ -101,39 +101,39 @@
     while world.now < taken_over + STALL {
         world.run(1);
         let held = world.groups().any(|known| known.name == group.name && known.is_retired());
-        assert!(held, "the new decider cannot know how long the group has stood still");
+        assert!(held, "the new decider cannot know how long the group has been stalled");
     }
 }
 
 #[test]
-fn a_new_decider_waits_no_longer_than_it_must_where_it_has_read_that_a_group_stands_still() {
+fn a_new_decider_counts_the_stall_time_from_when_it_read_that_the_group_is_stalled() {
     let mut world = at_rest(6);
     let group = world.find("large");
     world.crash(&group.members[0]);
     world.run(2);
-    let mut halts = Stalls::default();
-    halts.update(&world.plans, world.now);
-    let read = world.now;
-    // One decider after the other is stopped, each well before the group must have broken.
+    let mut stalls = Stalls::default();
+    stalls.update(&world.plans, world.now);
+    let read_at = world.now;
+    // Several deciders are stopped in turn, each well before the group must have broken.
     for _ in 0..5 {
-        world.memory = Memory::resume(&halts);
+        world.memory = Memory::resume(&stalls);
         world.run(4);
-        halts.update(&world.plans, world.now);
+        stalls.update(&world.plans, world.now);
     }
-    while world.now < read + STALL {
+    while world.now < read_at + STALL {
         let held = world.groups().any(|known| known.name == group.name && known.is_retired());
-        assert!(held, "after {} the head may still be open", world.now.since(read));
+        assert!(held, "after {} the head may still be open", world.now.since(read_at));
         world.run(1);
     }
-    world.now = read + STALL + STALL_MARGIN;
+    world.now = read_at + STALL + STALL_MARGIN;
     world.run(1);
     assert!(!world.groups().any(|known| known.name == group.name), "its members are free");
-    halts.update(&world.plans, world.now);
-    assert_eq!(Memory::resume(&halts).count_entries(), 0, "and nothing is remembered of it");
+    stalls.update(&world.plans, world.now);
+    assert_eq!(Memory::resume(&stalls).count_entries(), 0, "nothing about it is kept");
 }
 
 #[test]
-fn a_leaving_member_closes_the_head_before_anything_else() {
+fn a_draining_member_first_closes_the_head() {
     let mut world = at_rest(6);
     let group = world.find("large");
     let mut leaving = world.roster.get(&group.members[3]).cloned().unwrap();
@@ -151,7 +151,7 @@
 }
 
 #[test]
-fn an_order_without_answer_is_repeated_after_a_while_only() {
+fn an_unanswered_order_is_repeated_only_after_the_repeat_interval() {
     let mut world = World::new(1);
     let first = world.step();
     assert!(!first.orders.is_empty());
@@ -167,23 +167,23 @@
 }
 
 #[test]
-fn a_runner_in_a_group_that_nobody_planned_is_told_to_leave() {
+fn a_runner_in_an_unplanned_group_is_ordered_to_leave() {
     let mut world = at_rest(6);
     let mut stray = world.list_free()[0].clone();
-    let old = Membership {
+    let membership = Membership {
         group: "g0".parse().unwrap(),
         epoch: cottoncrank_fleet::runner::Epoch(0),
         rank: 1,
         phase: Phase::Joining,
     };
-    stray.membership = Some(old.clone());
+    stray.membership = Some(membership.clone());
     world.roster.insert(stray.clone());
     let step = world.step();
-    assert!(step.orders.contains(&(stray.id, Order::Leave(old.group, old.epoch))));
+    assert!(step.orders.contains(&(stray.id, Order::Leave(membership.group, membership.epoch))));
 }
 
 #[test]
-fn a_member_cut_off_from_the_store_alone_keeps_its_group() {
+fn a_member_cut_off_only_from_the_store_keeps_its_group() {
     let mut world = at_rest(6);
     let (kept, lost) = (world.find("large"), world.find("small"));
     world.probe(&[]);
@@ -194,10 +194,10 @@
         world.groups().all(|known| known.name != group.name || known.is_retired())
     };
     assert!(!is_retired(&world, &kept), "its members still answer");
-    assert!(is_retired(&world, &lost), "no head may be sent requests without an entry");
+    assert!(is_retired(&world, &lost), "a head without an entry must not get requests");
     world.probe(&kept.members[2..3]);
     world.step();
-    assert!(is_retired(&world, &kept), "now it does not answer either");
+    assert!(is_retired(&world, &kept), "it does not answer either now");
 }
 
 #[test]
@@ -214,14 +214,18 @@
 }
 
 #[test]
-fn a_head_without_entry_that_answers_finishes_leaves_and_frees_its_members() {
+fn a_head_without_an_entry_that_answers_finishes_and_leaves_and_releases_its_members() {
     let mut world = at_rest(6);
     let group = world.find("large");
     world.probe(&[]);
     world.remove_entry(&group.members[0]);
     let step = world.step();
     let close = Order::Close(group.name.clone(), group.epoch);
-    assert!(step.orders.contains(&(group.members[0].clone(), close)), "it finishes first: {:?}", step.orders);
+    assert!(
+        step.orders.contains(&(group.members[0].clone(), close)),
+        "it finishes its requests first: {:?}",
+        step.orders
+    );
     world.now = world.now + UNSEEN_HEAD_GRACE;
     let step = world.step();
     let leave = Order::Leave(group.name.clone(), group.epoch);
@@ -233,7 +237,7 @@
 }
 
 #[test]
-fn a_new_decider_asks_before_it_gives_a_group_up() {
+fn a_new_decider_probes_members_before_it_retires_a_group() {
     let mut world = at_rest(6);
     let group = world.find("large");
     world.remove_entry(&group.members[2]);
@@ -247,7 +251,7 @@
 }
 
 #[test]
-fn a_slow_member_is_replaced_and_used_again_once_it_is_not_slow() {
+fn a_slow_member_is_replaced_and_not_planned_while_it_is_slow() {
     let mut world = at_rest(6);
     let group = world.find("large");
     let slow = group.members[1].clone();
@@ -255,7 +259,7 @@
     world.probe(&[]);
     let step = world.step();
     let leave = Order::Leave(group.name.clone(), group.epoch);
-    assert!(step.orders.contains(&(group.members[0].clone(), leave)), "its streams go on elsewhere");
+    assert!(step.orders.contains(&(group.members[0].clone(), leave)), "its streams are resumed elsewhere");
     world.execute(&step);
     world.run(20);
     assert_eq!(world.count("large"), 6);
@@ -263,11 +267,11 @@
 }
 
 #[test]
-fn what_is_remembered_of_runners_and_groups_that_are_gone_is_forgotten() {
+fn memory_of_lost_runners_and_groups_is_pruned() {
     let mut world = at_rest(6);
     let mut early = 0;
     for turn in 0..60 {
-        // A member is lost and an empty runner comes: the fleet's size stays.
+        // A member is lost and an empty runner is added: the size of the fleet stays the same.
         let victim = world.find(if turn % 2 == 0 { "large" } else { "small" }).members[1].clone();
         let domain = world.roster.get(&victim).unwrap().domain.clone();
         world.crash(&victim);
@@ -286,7 +290,7 @@
 }
 
 #[test]
-fn a_group_whose_entries_are_all_gone_holds_its_members_while_they_may_live() {
+fn a_group_whose_entries_are_all_gone_holds_its_members_while_the_head_may_be_open() {
     let mut world = at_rest(1);
     world.hang_loads = true;
     let group = world.find("small");
@@ -297,29 +301,31 @@
     }
     world.probe(&[]);
     world.run(3);
-    // The member is back first. The head may still be open: it was not reached.
+    // The entry of the member returns first. The head may still be open: it was not reached.
     world.roster.insert(returning);
     world.probe(std::slice::from_ref(&head));
     world.run(5);
-    let taken = |world: &World| world.groups().any(|g| !g.is_retired() && g.members.contains(&member));
-    assert!(!taken(&world), "{:?}", world.plans);
-    // Without its member the head has broken after a time, and another runner comes.
+    let is_planned = |world: &World| world.groups().any(|g| !g.is_retired() && g.members.contains(&member));
+    assert!(!is_planned(&world), "{:?}", world.plans);
+    // Without its member the group breaks after the stall time, and another runner is added.
     world.roster.insert(runner(0, 50));
     world.hang_loads = false;
     world.now = world.now + STALL + STALL_MARGIN;
     world.probe(&[head]);
     world.run(10);
-    assert!(taken(&world), "{:?}", world.plans);
+    assert!(is_planned(&world), "{:?}", world.plans);
 }
 
-/// A member of a large group left, the group was closed and over, and for a moment its members were
-/// still about to leave it: neither planned nor free. Two runners stood by beside them, so a small
-/// group that took requests was closed to complete a large one, which its own members and one
-/// of those did a moment later. The same steps on a set clock, with a head that is replaced, gave
-/// these reasons: `release g1`, `retire g2 of small: large lacks 2 more runners`, then
+/// Guards against closing a small group that serves, for runners that are about to be free.
+///
+/// A member of a large group left, and the group was closed and released. Until its members had
+/// executed their leave orders they were neither planned nor free, and only the two spare runners
+/// counted, so a small group was closed to complete a large one. A moment later the members and one
+/// spare runner completed it. With a head that is replaced, the same steps gave the reasons
+/// `release g1`, `retire g2 of small: large lacks 2 more runners`, and then
 /// `form g19 of large with r0-1 r0-2 r0-3 r0-8`.
 #[test]
-fn no_small_group_is_closed_for_runners_that_are_free_in_a_moment() {
+fn no_small_group_is_closed_for_runners_that_are_about_to_be_free() {
     let mut world = at_rest(6);
     let group = world.find("large");
     let mut leaving = world.roster.get(&group.members[2]).unwrap().clone();
@@ -330,5 +336,5 @@
         world.run(1);
         assert_eq!(world.count("small"), others, "round {round}");
     }
-    assert_eq!(world.count("large"), 6, "a spare runner takes its place");
+    assert_eq!(world.count("large"), 6, "a spare runner replaces the draining one");
 }
--- a/crates/fleet/tests/position.rs
+++ b/crates/fleet/tests/position.rs
@@ -1,4 +1,4 @@
-//! Positions in the history of a store that may come back from an older copy.
+//! Positions in the history of a store that may be restored from an older copy.
 
 use cottoncrank_fleet::position::{Era, Position};
 
@@ -12,18 +12,18 @@
 }
 
 #[test]
-fn a_revision_is_told_within_its_era_only() {
+fn a_revision_is_returned_only_for_its_own_era() {
     let position = Position::new(Era(1), 500);
     assert_eq!(position.revision_in(Era(1)), Some(500));
     assert_eq!(position.revision_in(Era(2)), None);
 }
 
 #[test]
-fn positions_are_read_as_they_are_shown() {
+fn a_displayed_position_parses_to_the_same_position() {
     let position = Position::new(Era(2), 90);
     assert_eq!(position.to_string(), "2:90");
     assert_eq!("2:90".parse(), Ok(position));
-    for wrong in ["", "2", "2:", ":90", "2:90:1", "a:b"] {
-        assert!(wrong.parse::<Position>().is_err(), "`{wrong}`");
+    for invalid in ["", "2", "2:", ":90", "2:90:1", "a:b"] {
+        assert!(invalid.parse::<Position>().is_err(), "`{invalid}`");
     }
 }
--- a/crates/fleet/tests/staging.rs
+++ b/crates/fleet/tests/staging.rs
@@ -1,4 +1,4 @@
-//! Which models are put onto the hosts of runners, and how many at once.
+//! The choice of models to stage on the hosts of runners, and the limit on loads.
 
 mod instant;
 
@@ -11,38 +11,42 @@
 use instant::{CEILING, World, at_rest, runner, service};
 
 #[test]
-fn loads_in_reserve_leave_those_for_repairs_alone() {
+fn reserve_loads_do_not_delay_repair_loads() {
     let mut loads = Loads::default();
     let engine = service().engine.unwrap();
-    let at = Millis(1_000_000);
-    let most = engine.loads_at_once;
-    loads.record_started(at, most, Millis(16_000), true, Purpose::Reserve);
-    let later = at + CEILING.window;
+    let started = Millis(1_000_000);
+    let max_loads = engine.loads_at_once;
+    loads.record_started(started, max_loads, Millis(16_000), true, Purpose::Reserve);
+    let later = started + CEILING.window;
     let allowed = |purpose| loads.count_allowed(later, &engine, &CEILING, true, purpose);
-    assert_eq!(allowed(Purpose::Reserve), 0, "no more than run at full speed");
-    assert_eq!(allowed(Purpose::Repair), most, "a group that callers need does not wait for them");
-    loads.record_started(later, most, Millis(16_000), true, Purpose::Repair);
+    assert_eq!(allowed(Purpose::Reserve), 0, "no more run than the weight store serves at full speed");
+    assert_eq!(
+        allowed(Purpose::Repair),
+        max_loads,
+        "a group that callers need does not wait for reserve loads"
+    );
+    loads.record_started(later, max_loads, Millis(16_000), true, Purpose::Repair);
     let last = later + CEILING.window;
     assert_eq!(loads.count_allowed(last, &engine, &CEILING, true, Purpose::Repair), 0);
 }
 
 #[test]
-fn a_fleet_that_starts_stages_what_is_free_though_a_group_is_lacking() {
+fn a_starting_fleet_stages_on_free_runners_though_a_group_is_missing() {
     let mut world = World::new(6);
-    // Of one domain there are too few runners for its large group.
+    // One domain has too few runners for its large group.
     for number in 3..10 {
         world.roster.remove(&format!("r0-{number}").parse().unwrap(), Millis(0));
     }
     world.run(60);
     let free = world.list_free();
     assert!(!free.is_empty());
-    assert!(free.iter().all(|runner| !runner.staged.is_empty()), "all hold a model before callers come");
+    assert!(free.iter().all(|runner| !runner.staged.is_empty()), "all hold a model before callers arrive");
 }
 
 #[test]
 fn loads_keep_the_ceiling_in_every_window() {
     let mut world = World::new(20);
-    let mut begun: Vec<Millis> = Vec::new();
+    let mut starts: Vec<Millis> = Vec::new();
     for _ in 0..200 {
         let step = world.step();
         for (id, order) in &step.orders {
@@ -51,60 +55,60 @@
                 Order::Join(_, _, model, _) => !world.roster.get(id).unwrap().staged.contains(model),
                 _ => false,
             };
-            begun.extend(loads.then_some(world.now));
+            starts.extend(loads.then_some(world.now));
         }
         world.execute(&step);
         world.now = world.now + Millis(50);
     }
-    let most = 5.0 * 5.0 * CEILING.overshoot + 3.0;
-    for start in &begun {
-        let within = begun.iter().filter(|at| **at >= *start && **at < *start + CEILING.window).count();
-        assert!(within as f64 <= most, "{within} loads from {start}");
+    let max_in_window = 5.0 * 5.0 * CEILING.overshoot + 3.0;
+    for start in &starts {
+        let within = starts.iter().filter(|at| **at >= *start && **at < *start + CEILING.window).count();
+        assert!(within as f64 <= max_in_window, "{within} loads from {start}");
     }
-    assert!(begun.len() >= 30, "it uses what is allowed: {}", begun.len());
+    assert!(starts.len() >= 30, "it uses the allowed loads: {}", starts.len());
 }
 
 #[test]
-fn a_runner_that_still_loads_one_model_is_not_told_to_load_another() {
+fn a_runner_that_is_loading_a_model_is_not_ordered_to_load_another() {
     let mut world = World::new(1);
     world.serving = true;
-    let mut asked: HashSet<id::Runner> = HashSet::new();
-    // Nothing that is ordered to be staged ever gets there.
+    let mut ordered: HashSet<id::Runner> = HashSet::new();
+    // No staged model ever arrives.
     for _ in 0..100 {
         let mut step = world.step();
         for (id, order) in &step.orders {
             if let Order::Stage(_) = order {
-                assert!(asked.insert(id.clone()), "{id} was told twice");
+                assert!(ordered.insert(id.clone()), "{id} was ordered twice");
             }
         }
         step.orders.retain(|(_, order)| !matches!(order, Order::Stage(_)));
         world.execute(&step);
         world.now = world.now + Millis(200);
     }
-    assert!(!asked.is_empty());
+    assert!(!ordered.is_empty());
 }
 
 #[test]
-fn members_of_groups_hold_another_model_beside_what_they_serve() {
+fn members_of_groups_hold_another_model_beside_the_served_one() {
     let mut world = World::new(6);
-    // Before callers come loads are short, and all that is wanted can be loaded.
+    // Before callers arrive loads are short, so that all wanted models can be loaded.
     world.run(300);
     for group in world.groups() {
         let other = if group.model.as_str() == "large" { "small" } else { "large" };
         for id in &group.members {
             let runner = world.roster.get(id).unwrap();
             assert_eq!(runner.staged[0].as_str(), other, "{id} of {}", group.name);
-            assert!(runner.membership.is_some(), "they serve on");
+            assert!(runner.membership.is_some(), "they continue to serve");
         }
     }
 }
 
 #[test]
-fn a_member_of_a_small_group_loads_what_is_left_of_a_large_one_needs() {
+fn a_member_of_a_small_group_loads_the_model_that_the_rest_of_a_large_one_needs() {
     let mut world = at_rest(6);
     world.hang_loads = true;
-    // Nobody holds the large model beside what he serves, as on a fleet whose callers
-    // came before that could be loaded.
+    // No member of a small group holds the large model, as in a fleet whose callers arrived before it
+    // could be loaded.
     let groups = world.groups().filter(|group| group.model.as_str() == "small");
     let members: HashSet<id::Runner> = groups.flat_map(|group| group.members.clone()).collect();
     for id in &members {
@@ -113,8 +117,8 @@
         world.roster.insert(runner);
     }
     world.memory = Memory::default();
-    let (site, plan) = world.plans.iter().next().map(|(id, plan)| (id.clone(), plan.clone())).unwrap();
-    world.crash_spares(&site);
+    let (domain, plan) = world.plans.iter().next().map(|(id, plan)| (id.clone(), plan.clone())).unwrap();
+    world.crash_spares(&domain);
     let large = plan.groups.iter().find(|group| group.model.as_str() == "large").unwrap();
     world.crash(&large.members[1]);
     let mut loading = Vec::new();
@@ -127,14 +131,17 @@
         world.execute(&step);
         world.now = world.now + Millis(200);
     }
-    let here: Vec<&id::Runner> =
+    let small_members: Vec<&id::Runner> =
         plan.groups.iter().filter(|g| g.model.as_str() == "small").flat_map(|g| &g.members).collect();
-    assert!(loading.iter().any(|id| here.contains(&id)), "{loading:?}");
-    assert!(here.iter().all(|id| world.roster.get(id).unwrap().membership.is_some()), "they serve on");
+    assert!(loading.iter().any(|id| small_members.contains(&id)), "{loading:?}");
+    assert!(
+        small_members.iter().all(|id| world.roster.get(id).unwrap().membership.is_some()),
+        "they continue to serve"
+    );
 }
 
 #[test]
-fn a_runner_with_the_longest_name_there_can_be_is_preloaded() {
+fn a_runner_with_the_longest_possible_name_is_preloaded() {
     let mut world = World::new(1);
     let mut long = runner(0, 99);
     long.id = "r".repeat(id::MAX_NAME_LEN).parse().unwrap();
@@ -152,12 +159,14 @@
     assert!(preloaded || world.groups().any(|group| group.members.contains(&long.id)));
 }
 
-/// In a fleet that lost nobody 576 models were loaded in 25 s, and as many orders given, until every
-/// host had one: reserves were ordered by what they spare, with no least. Callers pay for such loads
-/// with the places at the weight store that a repair would have.
+/// Guards against reserve loads without benefit, which take capacity of the weight store that repairs
+/// need.
+///
+/// A fleet without losses loaded 576 models in 25 s, each by an order, until every host had one:
+/// reserves were sorted by the number of runners they spare, without a minimum.
 #[test]
-fn a_calm_fleet_that_serves_loads_no_reserve_that_spares_next_to_nothing() {
-    let strip = |world: &mut World, members: usize| {
+fn a_fleet_without_losses_loads_no_reserve_that_spares_practically_no_runners() {
+    let clear_staged = |world: &mut World, members: usize| {
         let groups: Vec<_> = world.groups().cloned().collect();
         for id in groups.iter().flat_map(|group| group.members.iter().take(members)) {
             let mut runner = world.roster.get(id).unwrap().clone();
@@ -165,7 +174,7 @@
             world.roster.insert(runner);
         }
     };
-    let count = |world: &mut World| {
+    let count_staged = |world: &mut World| {
         let mut staged = 0;
         for _ in 0..20 {
             let step = world.step();
@@ -174,17 +183,17 @@
         }
         staged
     };
-    let calm = || {
+    let start_calm = || {
         let mut world = at_rest(6);
         let engine = world.service.engine.as_mut().unwrap();
         (engine.loads_at_once, engine.loads_per_second) = (100, 50.0);
         world.run(600);
         world
     };
-    let mut world = calm();
-    strip(&mut world, 1);
-    assert_eq!(count(&mut world), 0, "the others of each domain hold the other model");
-    let mut world = calm();
-    strip(&mut world, usize::MAX);
-    assert!(count(&mut world) > 0, "where nobody holds the other model it is loaded");
+    let mut world = start_calm();
+    clear_staged(&mut world, 1);
+    assert_eq!(count_staged(&mut world), 0, "the others of each domain hold the other model");
+    let mut world = start_calm();
+    clear_staged(&mut world, usize::MAX);
+    assert!(count_staged(&mut world) > 0, "if no runner holds the other model, it is loaded");
 }
