--- a/crates/fleet/tests/form.rs
+++ b/crates/fleet/tests/form.rs
@@ -272,9 +272,9 @@
     // Another domain loses its whole large group, so that the large model is further below its target.
     let other =
         world.plans.iter().find(|(id, _)| **id != domain_id).map(|(_, plan)| plan.groups.clone()).unwrap();
-    let whole = other.iter().find(|group| group.model.as_str() == "large").unwrap();
+    let other_large = other.iter().find(|group| group.model.as_str() == "large").unwrap();
     let large = groups.iter().find(|group| group.model.as_str() == "large").unwrap();
-    for id in whole.members.iter().chain(&large.members[1..3]) {
+    for id in other_large.members.iter().chain(&large.members[1..3]) {
         world.crash(id);
     }
     world.run(50);
--- a/crates/fleet/tests/node_state.rs
+++ b/crates/fleet/tests/node_state.rs
@@ -1,4 +1,5 @@
-//! What a node believes: runners, keys, silence, events and routes.
+//! The state of a node: its ledger of runners, the roster, the freshness of keys, probes, streams of events,
+//! routes and concurrency limits.
 
 use assert_matches::assert_matches;
 use cottoncrank::{Millis, id};
@@ -50,7 +51,7 @@
 }
 
 #[test]
-fn a_runner_that_started_again_is_not_passed_over_and_its_requests_count_until_they_end() {
+fn a_restarted_runner_is_healthy_and_its_requests_count_until_they_end() {
     let mut ledger = Ledger::default();
     let known = member(1, 0, Phase::Open);
     let now = Millis(1000);
@@ -69,10 +70,10 @@
 fn only_open_heads_of_planned_groups_take_requests() {
     let mut roster = Roster::default();
     roster.insert(member(0, 0, Phase::Open));
-    assert_eq!(heads(&roster, &plans(State::Active)), 1, "the decider looks after the other members");
-    assert_eq!(heads(&roster, &plans(State::Closing)), 0, "the group is to take no more");
-    assert_eq!(heads(&roster, &plans(State::Lost)), 0, "the group is given up");
-    assert_eq!(heads(&roster, &Plans::new()), 0, "nobody planned it");
+    assert_eq!(heads(&roster, &plans(State::Active)), 1, "the decider checks the other members");
+    assert_eq!(heads(&roster, &plans(State::Closing)), 0, "the group takes no more requests");
+    assert_eq!(heads(&roster, &plans(State::Lost)), 0, "the group is lost");
+    assert_eq!(heads(&roster, &Plans::new()), 0, "the group is not planned");
     for phase in [Phase::Joining, Phase::Ready, Phase::Closing, Phase::Broken] {
         roster.insert(member(0, 0, phase));
         assert_eq!(heads(&roster, &plans(State::Active)), 0, "{phase:?}");
@@ -86,28 +87,28 @@
 }
 
 #[test]
-fn entries_that_lapsed_with_the_store_may_come_back() {
+fn entries_that_expired_with_the_store_may_return_within_the_grace_period() {
     let mut roster = Roster::default();
-    let (here, id) = (member(0, 0, Phase::Open), "r0".parse::<id::Runner>().unwrap());
+    let (entry, id) = (member(0, 0, Phase::Open), "r0".parse::<id::Runner>().unwrap());
     let now = Millis(100_000);
-    roster.insert(here.clone());
+    roster.insert(entry.clone());
     roster.start_grace_period(now);
     roster.remove(&id, now);
     assert!(roster.get(&id).is_some());
     assert!(roster.expire(now + RETURN_GRACE - Millis(1)).is_empty());
     assert_eq!(roster.expire(now + RETURN_GRACE), std::slice::from_ref(&id));
     assert!(roster.get(&id).is_none());
-    // One that wrote itself in again stays.
-    roster.insert(here.clone());
+    // A runner that wrote its entry again stays.
+    roster.insert(entry.clone());
     roster.start_grace_period(now);
     roster.remove(&id, now);
-    roster.insert(here);
+    roster.insert(entry);
     assert!(roster.expire(now + RETURN_GRACE).is_empty());
     assert!(roster.get(&id).is_some());
 }
 
 #[test]
-fn without_trouble_an_entry_that_is_gone_is_gone() {
+fn without_a_grace_period_a_missing_entry_is_removed_at_once() {
     let mut roster = Roster::default();
     roster.insert(member(0, 0, Phase::Open));
     roster.remove(&"r0".parse().unwrap(), Millis(5));
@@ -115,28 +116,28 @@
 }
 
 #[test]
-fn keys_are_honoured_only_as_long_as_none_can_have_been_taken_away() {
-    let length = Millis(5000);
-    let bound = Some(length);
+fn keys_are_accepted_only_while_none_can_have_been_revoked() {
+    let max_age = Millis(5000);
+    let bound = Some(max_age);
     let mut freshness = Freshness::default();
     let now = Millis(100_000);
     assert!(!freshness.allows(now, bound), "nothing is known yet");
     assert!(!freshness.allows(now, None), "nothing is known yet");
     freshness.prove_read(now);
-    assert!(freshness.allows(now + length - SAFETY_MARGIN - Millis(1), bound));
-    assert!(!freshness.allows(now + length - SAFETY_MARGIN, bound));
-    assert!(freshness.allows(now + length + length, None), "without a bound, any proof suffices");
-    // A watch that heard nothing proves less: it may have been deaf.
+    assert!(freshness.allows(now + max_age - SAFETY_MARGIN - Millis(1), bound));
+    assert!(!freshness.allows(now + max_age - SAFETY_MARGIN, bound));
+    assert!(freshness.allows(now + max_age + max_age, None), "without a bound, any proof suffices");
+    // A watch that returned no change proves less: it may have missed changes for a while.
     freshness.prove_watch(now, Millis(1500));
     let proven = now + Millis(1500) - MAX_WATCH_DELAY;
-    assert!(freshness.allows(proven + length - SAFETY_MARGIN - Millis(1), bound));
-    assert!(!freshness.allows(proven + length - SAFETY_MARGIN, bound));
-    // A proof that comes late takes nothing back.
+    assert!(freshness.allows(proven + max_age - SAFETY_MARGIN - Millis(1), bound));
+    assert!(!freshness.allows(proven + max_age - SAFETY_MARGIN, bound));
+    // A proof that arrives late does not reduce the freshness.
     freshness.prove_read(now - Millis(3000));
     assert_eq!(freshness.age(now + Millis(1500)), Some(MAX_WATCH_DELAY));
 }
 
-fn answers(silent: &[usize], of: usize, hall: &str) -> Vec<Answer> {
+fn answers(silent: &[usize], count: usize, hall: &str) -> Vec<Answer> {
     let answer = |number: usize| Answer {
         runner: format!("{hall}-{number}").parse().unwrap(),
         hall: hall.parse().unwrap(),
@@ -144,37 +145,40 @@
         incarnation: None,
         asked: 1,
     };
-    (0..of).map(answer).collect()
+    (0..count).map(answer).collect()
 }
 
-fn sign(probes: &Probes, name: &str) -> Health {
+fn find_health(probes: &Probes, name: &str) -> Health {
     probes.health(&name.parse().unwrap())
 }
 
 #[test]
-fn a_runner_is_silent_after_two_misses_and_until_it_answers() {
+fn a_runner_is_silent_after_two_misses_until_it_answers() {
     let mut probes = Probes::default();
     assert!(probes.record_round(&answers(&[3], 10, "a")).is_empty());
-    assert_eq!(sign(&probes, "a-3"), Health::Unknown);
+    assert_eq!(find_health(&probes, "a-3"), Health::Unknown);
     assert_eq!(probes.record_round(&answers(&[3], 10, "a")).len(), 1);
-    assert_eq!((sign(&probes, "a-3"), sign(&probes, "a-4")), (Health::Silent, Health::Responsive));
-    assert!(probes.record_round(&answers(&[3], 10, "a")).is_empty(), "it is told once");
+    assert_eq!(
+        (find_health(&probes, "a-3"), find_health(&probes, "a-4")),
+        (Health::Silent, Health::Responsive)
+    );
+    assert!(probes.record_round(&answers(&[3], 10, "a")).is_empty(), "it is reported once");
     probes.record_round(&answers(&[], 10, "a"));
-    assert_eq!(sign(&probes, "a-3"), Health::Responsive);
+    assert_eq!(find_health(&probes, "a-3"), Health::Responsive);
     probes.record_round(&answers(&[], 3, "a"));
-    assert_eq!(sign(&probes, "a-3"), Health::Unknown, "it was not asked any more");
+    assert_eq!(find_health(&probes, "a-3"), Health::Unknown, "it was not probed any more");
 }
 
 #[test]
-fn a_runner_that_was_asked_twice_in_a_round_is_silent_after_it() {
+fn a_runner_that_misses_two_probes_of_one_round_is_silent_after_it() {
     let mut probes = Probes::default();
     probes.record_round(&answers(&[], 4, "a"));
     let mut round = answers(&[1], 4, "a");
     round[1].asked = 2;
-    let fresh = probes.record_round(&round);
-    assert_eq!(fresh, ["a-1".parse().unwrap()]);
-    assert_eq!(sign(&probes, "a-1"), Health::Silent);
-    assert_eq!(sign(&probes, "a-0"), Health::Responsive);
+    let newly_silent = probes.record_round(&round);
+    assert_eq!(newly_silent, ["a-1".parse().unwrap()]);
+    assert_eq!(find_health(&probes, "a-1"), Health::Silent);
+    assert_eq!(find_health(&probes, "a-0"), Health::Responsive);
 }
 
 #[test]
@@ -183,36 +187,39 @@
     let slow = |pace: f64| Answer { reported: Observation::Pace(pace), ..answers(&[], 1, "a").remove(0) };
     probes.record_round(&[slow(SLOW_FACTOR)]);
     probes.record_round(&[slow(SLOW_FACTOR)]);
-    assert_eq!(sign(&probes, "a-0"), Health::Slow);
+    assert_eq!(find_health(&probes, "a-0"), Health::Slow);
     assert_eq!(probes.list_slow().len(), 1);
     probes.record_round(&[slow(1.0)]);
-    assert_eq!(sign(&probes, "a-0"), Health::Responsive);
+    assert_eq!(find_health(&probes, "a-0"), Health::Responsive);
 }
 
 #[test]
-fn a_hall_that_is_silent_as_a_whole_is_taken_to_be_cut() {
+fn a_hall_that_is_mostly_silent_counts_as_cut_off() {
     let mut probes = Probes::default();
     let all: Vec<usize> = (0..10).collect();
     for _ in 0..3 {
         assert!(probes.record_round(&answers(&all[..8], 10, "a")).is_empty());
     }
-    assert_eq!(sign(&probes, "a-0"), Health::Unknown);
+    assert_eq!(find_health(&probes, "a-0"), Health::Unknown);
     assert!(probes.is_pending(&"a-9".parse().unwrap()));
     for _ in 0..3 {
         probes.record_round(&answers(&all[..5], 10, "a"));
     }
-    assert_eq!((sign(&probes, "a-0"), sign(&probes, "a-5")), (Health::Silent, Health::Responsive));
+    assert_eq!(
+        (find_health(&probes, "a-0"), find_health(&probes, "a-5")),
+        (Health::Silent, Health::Responsive)
+    );
 }
 
 #[test]
-fn only_whole_and_new_events_are_passed_on() {
+fn only_whole_and_new_events_are_forwarded() {
     let mut splitter = Splitter::resume_after(None);
     assert_eq!(splitter.push(b"id: 0\ndata: a\n\nid: 1\nda").unwrap(), "id: 0\ndata: a\n\n");
     assert!(!splitter.is_at_boundary());
     assert_eq!(splitter.push(b"ta: b\n\n").unwrap(), "id: 1\ndata: b\n\n");
     assert!(splitter.is_at_boundary());
     assert_eq!(splitter.last_id(), Some(1));
-    // Another runner goes on: what the caller has already is left out.
+    // Another runner resumes the stream: events that the caller already has are dropped.
     let mut splitter = Splitter::resume_after(Some(1));
     let events = splitter.push(b"id: 1\r\ndata: b\r\n\r\nid: 2\r\ndata: c\r\n\r\n").unwrap();
     assert_eq!(events, "id: 2\r\ndata: c\r\n\r\n");
@@ -220,10 +227,10 @@
 }
 
 #[test]
-fn an_event_without_end_is_given_up() {
+fn an_event_that_never_ends_is_rejected() {
     let mut splitter = Splitter::resume_after(None);
-    let piece = vec![b'x'; MAX_EVENT_BYTES + 1];
-    assert_eq!(splitter.push(&piece), Err(EventError::TooLarge));
+    let chunk = vec![b'x'; MAX_EVENT_BYTES + 1];
+    assert_eq!(splitter.push(&chunk), Err(EventError::TooLarge));
 }
 
 fn route(name: &str, prefix: &str, targets: &[(&str, u32)]) -> Route {
@@ -265,7 +272,7 @@
 }
 
 #[test]
-fn split_routes_follow_their_weights() {
+fn requests_are_split_by_the_weights_of_a_route() {
     let route = route("split", "/", &[("a", 3), ("b", 1)]);
     let picked: Vec<&str> = (0..8).map(|point| route.pick_target(point).unwrap().service.as_str()).collect();
     assert_eq!(picked, ["a", "a", "a", "b", "a", "a", "a", "b"]);
@@ -273,7 +280,7 @@
 }
 
 #[test]
-fn the_limit_falls_below_what_is_under_way_and_rises_while_in_use() {
+fn the_limit_falls_below_the_running_requests_and_rises_while_in_use() {
     let mut limit = Limit::default();
     let mut now = Millis(10_000);
     for _ in 0..20 {
@@ -281,20 +288,20 @@
     }
     limit.record_late(now);
     assert!(!limit.admits() && limit.level() < 20.0);
-    let fallen = limit.level();
+    let reduced = limit.level();
     limit.record_late(now + Millis(100));
-    assert_eq!(limit.level(), fallen, "what is late for the same reason counts once");
+    assert_eq!(limit.level(), reduced, "late requests with the same cause count once");
     for _ in 0..40 {
         now = now + Millis(400);
         limit.record_late(now);
     }
-    assert!(limit.level() >= 3.0, "some go on, to show when there is room");
+    assert!(limit.level() >= 3.0, "some requests are still admitted, to detect when there is room");
     for _ in 0..20 {
         limit.end();
     }
-    let unused = limit.level();
+    let level = limit.level();
     limit.record_on_time();
-    assert_eq!(limit.level(), unused, "a limit that is not in use proves nothing");
+    assert_eq!(limit.level(), level, "a limit that is not in use does not rise");
     while limit.admits() {
         limit.begin();
     }
@@ -305,31 +312,31 @@
 }
 
 #[test]
-fn a_runner_that_turns_requests_away_in_a_row_is_passed_over_for_ever_longer() {
+fn a_runner_that_rejects_consecutive_requests_is_avoided_for_longer_each_time() {
     let (mut ledger, runner) = (Ledger::default(), member(1, 0, Phase::Open));
     let mut now = Millis(10_000);
     ledger.record_rejection(&runner.id, now);
-    assert!(ledger.is_healthy(&runner, now), "one says little: it may have been full for a moment");
+    assert!(ledger.is_healthy(&runner, now), "after one rejection it may just have been full for a moment");
     let mut spans = Vec::new();
     for _ in 0..6 {
         ledger.record_rejection(&runner.id, now);
         assert!(!ledger.is_healthy(&runner, now));
         assert_eq!(ledger.list_rejecting(now).count(), 1);
-        let from = now;
+        let started = now;
         while !ledger.is_healthy(&runner, now) {
             now = now + Millis(100);
         }
-        spans.push(now.since(from).0);
+        spans.push(now.since(started).0);
     }
     assert_eq!(spans, [300, 600, 1200, 2400, 2500, 2500]);
-    // Then one is tried, and what it takes clears it.
+    // Then one request is tried, and if it is accepted the runner is healthy again.
     ledger.record_progress(&runner.id, now);
     ledger.record_rejection(&runner.id, now);
     assert!(ledger.is_healthy(&runner, now) && ledger.list_rejecting(now).next().is_none());
 }
 
 #[test]
-fn a_runner_that_takes_some_in_between_is_merely_full() {
+fn a_runner_that_accepts_requests_between_rejections_is_just_full() {
     let (mut ledger, runner) = (Ledger::default(), member(1, 0, Phase::Open));
     for turn in 0..20 {
         let now = Millis(10_000 + 10 * turn);
--- a/crates/fleet/tests/unwilling.rs
+++ b/crates/fleet/tests/unwilling.rs
@@ -1,8 +1,9 @@
-//! Runners that turn requests away and say for how long they want none, before the nodes of a
-//! hall and the collector that chooses for them, on a set clock.
+//! Runners that reject requests and name a backoff, with the nodes of a hall and the collector that
+//! picks groups for them, on a simulated clock.
 //!
-//! The load: a part of the groups turns all away for some seconds. They have nothing in flight,
-//! so that by what is in flight they are the best. Compared are ways to keep requests from them.
+//! The failure: some of the groups reject all requests for some seconds. They have nothing in
+//! flight, so by load they look like the best choice. The tests compare strategies to keep requests
+//! from them.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
@@ -29,42 +30,45 @@
     usual_answer_tokens: 156.0,
 };
 
-/// For how long a runner that turns a request away wants no other one.
-const SPAN: Millis = Millis(3000);
+/// The backoff that a runner names when it rejects a request.
+const BACKOFF: Millis = Millis(3000);
 
-/// A backoff binds from then on: what is under way before may come.
-const UNDER_WAY: Millis = Millis(500);
+/// Requests that a node sends within this time after a rejection are not counted: they may have been in
+/// flight already.
+const IN_FLIGHT_GRACE: Millis = Millis(500);
 
-/// When some begin to turn all away, and when they end.
-const REFUSING: std::ops::Range<u64> = 5000..15_000;
+/// The time in which some runners reject all requests.
+const REJECTING: std::ops::Range<u64> = 5000..15_000;
 
-/// The times a request is tried at most.
-const TRIES: usize = 4;
+/// The maximum number of attempts for a request.
+const MAX_ATTEMPTS: usize = 4;
 
-/// How requests are kept from runners that want none.
+/// How requests are kept from runners that are backing off.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Way {
-    /// They are not.
-    Forgotten,
-    /// A node names those that want none from it when it asks for a group.
+enum Strategy {
+    /// Backoffs are ignored.
+    Ignored,
+    /// A node names the runners that are backing off from it in its queries for a group.
     Named,
-    /// The same, and the hall doubts the group for all nodes.
+    /// The same, and their groups count as doubted for all nodes of the hall.
     Doubted,
-    /// Those that want none from one node get none from any of the hall.
+    /// Runners that are backing off from one node get no requests from any node of the hall.
     Shared,
-    /// No time is named, and those that turn some in a row away are passed over and doubted.
-    PassedOver,
+    /// Runners name no backoff; those that reject several requests in a row are avoided, and their groups
+    /// count as doubted.
+    Avoided,
 }
 
-/// What came of it, while some turned all away.
+/// The result, for the time in which some runners reject all requests.
 #[derive(Clone, Copy, Debug, Default)]
 struct Outcome {
     requests: u32,
     served: u32,
-    /// Tries that were turned away.
-    refused: u32,
-    /// The most requests of a node to a runner within one backoff, after what was under way.
-    worst: u32,
+    /// The number of rejected attempts.
+    rejected: u32,
+    /// The maximum number of requests that a node sent to a runner within a backoff, without those that
+    /// may have been in flight before.
+    max_sent_in_backoff: u32,
 }
 
 impl Outcome {
@@ -72,8 +76,8 @@
         f64::from(self.served) / f64::from(self.requests)
     }
 
-    fn refused(&self) -> f64 {
-        f64::from(self.refused) / f64::from(self.requests)
+    fn rejected(&self) -> f64 {
+        f64::from(self.rejected) / f64::from(self.requests)
     }
 }
 
@@ -101,60 +105,62 @@
     }
 }
 
-/// A hall: nodes, groups, and what is under way.
+/// A hall: its nodes, its groups and the requests in flight.
 struct Hall {
-    way: Way,
+    strategy: Strategy,
     heads: Vec<Runner>,
-    refusing: usize,
-    /// Whether those that turn away do so to every other node only.
-    partly: bool,
+    /// How many heads reject requests: those of the first groups.
+    rejecting: usize,
+    /// Whether the rejecting runners reject only the requests of every second node.
+    rejects_even_nodes_only: bool,
     backoffs: Vec<backoff::Table>,
     ledgers: Vec<Ledger>,
-    /// When a node was last turned away with a backoff, and what it sent there since.
-    asked: HashMap<(usize, Epoch), (Millis, u32)>,
+    /// When a node was last rejected with a backoff by a group, and how many requests it sent there
+    /// within backoffs.
+    sent_in_backoff: HashMap<(usize, Epoch), (Millis, u32)>,
     running: HashMap<Epoch, u32>,
-    ends: BinaryHeap<Reverse<(u64, Epoch)>>,
+    request_ends: BinaryHeap<Reverse<(u64, Epoch)>>,
     dispatcher: Dispatcher,
     rng: SmallRng,
 }
 
 impl Hall {
-    fn new(way: Way, nodes: usize, groups: u64, refusing: usize, seed: u64) -> Hall {
+    fn new(strategy: Strategy, nodes: usize, groups: u64, rejecting: usize, seed: u64) -> Hall {
         Hall {
-            way,
+            strategy,
             heads: (1..=groups).map(head).collect(),
-            refusing,
-            partly: false,
+            rejecting,
+            rejects_even_nodes_only: false,
             backoffs: vec![backoff::Table::default(); nodes],
             ledgers: vec![Ledger::default(); nodes],
-            asked: HashMap::new(),
+            sent_in_backoff: HashMap::new(),
             running: HashMap::new(),
-            ends: BinaryHeap::new(),
+            request_ends: BinaryHeap::new(),
             dispatcher: Dispatcher::default(),
             rng: SmallRng::seed_from_u64(seed),
         }
     }
 
-    fn list_unwilling(&self, node: usize, now: Millis) -> Vec<Epoch> {
-        let of = |node: usize| {
+    fn list_backing_off(&self, node: usize, now: Millis) -> Vec<Epoch> {
+        let list_heads = |node: usize| {
             self.heads.iter().filter(move |head| self.backoffs[node].find_end(&head.id, None, now).is_some())
         };
         let epoch = |head: &Runner| head.membership.as_ref().unwrap().epoch;
-        match self.way {
-            Way::Forgotten => Vec::new(),
-            Way::Named | Way::Doubted => of(node).map(epoch).collect(),
-            Way::Shared => (0..self.backoffs.len()).flat_map(of).map(epoch).collect(),
-            Way::PassedOver => {
-                let refusing: Vec<&id::Runner> = self.ledgers[node].list_rejecting(now).collect();
-                self.heads.iter().filter(|head| refusing.contains(&&head.id)).map(epoch).collect()
+        match self.strategy {
+            Strategy::Ignored => Vec::new(),
+            Strategy::Named | Strategy::Doubted => list_heads(node).map(epoch).collect(),
+            Strategy::Shared => (0..self.backoffs.len()).flat_map(list_heads).map(epoch).collect(),
+            Strategy::Avoided => {
+                let rejecting: Vec<&id::Runner> = self.ledgers[node].list_rejecting(now).collect();
+                self.heads.iter().filter(|head| rejecting.contains(&&head.id)).map(epoch).collect()
             }
         }
     }
 
     fn choose(&mut self, node: usize, tried: &[Epoch], now: Millis) -> Reply {
-        let doubts: HashMap<Epoch, u32> = match self.way {
-            Way::Doubted | Way::PassedOver => {
-                let all = (0..self.backoffs.len()).flat_map(|node| self.list_unwilling(node, now));
+        let doubts: HashMap<Epoch, u32> = match self.strategy {
+            Strategy::Doubted | Strategy::Avoided => {
+                let all = (0..self.backoffs.len()).flat_map(|node| self.list_backing_off(node, now));
                 all.fold(HashMap::new(), |mut sum, epoch| {
                     *sum.entry(epoch).or_default() += 1;
                     sum
@@ -162,7 +168,7 @@
             }
             _ => HashMap::new(),
         };
-        let question = Query {
+        let query = Query {
             report: Report {
                 node: format!("n{node}").parse().unwrap(),
                 hall: "hall-a".parse().unwrap(),
@@ -178,7 +184,7 @@
             urgency: if tried.is_empty() { Urgency::Within(300) } else { Urgency::Again },
             patience: None,
             tried: tried.to_vec(),
-            unwilling: self.list_unwilling(node, now),
+            unwilling: self.list_backing_off(node, now),
             fingerprint: Fingerprint::of(&Request { account: None, method: "POST", path: "/", body: b"b" }),
             samples: Vec::new(),
         };
@@ -193,7 +199,7 @@
             pace: 0.6,
         };
         let heads: Vec<&Runner> = self.heads.iter().collect();
-        let choice = Candidates {
+        let candidates = Candidates {
             hall: &hall,
             silent_halls: &[],
             heads: &heads,
@@ -206,129 +212,142 @@
             running: self.running.get(&epoch).copied().unwrap_or(0),
             doubts: doubts.get(&epoch).copied().unwrap_or(0),
         };
-        self.dispatcher.choose(&choice, &question, load, now, &mut self.rng).reply
+        self.dispatcher.choose(&candidates, &query, load, now, &mut self.rng).reply
     }
 
-    /// Whether the head of a group turns a request of a node away at present.
-    fn is_refusing(&self, node: usize, epoch: Epoch, now: Millis) -> bool {
-        REFUSING.contains(&now.0)
-            && epoch.0 as usize <= self.refusing
-            && (!self.partly || node.is_multiple_of(2))
+    /// Whether the head of a group rejects a request of a node now.
+    fn is_rejecting(&self, node: usize, epoch: Epoch, now: Millis) -> bool {
+        REJECTING.contains(&now.0)
+            && epoch.0 as usize <= self.rejecting
+            && (!self.rejects_even_nodes_only || node.is_multiple_of(2))
     }
 
-    /// One request of a node. Returns how many tries were turned away, and whether it is served.
-    fn ask(&mut self, node: usize, now: Millis) -> (u32, bool) {
+    /// Sends one request from a node. Returns the number of rejected attempts, and whether it is served.
+    fn send_request(&mut self, node: usize, now: Millis) -> (u32, bool) {
         let mut tried = Vec::new();
-        while tried.len() < TRIES {
-            let Reply::Take(promise) = self.choose(node, &tried, now) else { break };
-            let epoch = promise.epoch;
-            if let Some((at, sent)) = self.asked.get_mut(&(node, epoch)) {
-                let binds = (*at + UNDER_WAY).0..(*at + SPAN).0;
-                *sent += u32::from(binds.contains(&now.0));
+        while tried.len() < MAX_ATTEMPTS {
+            let Reply::Take(assignment) = self.choose(node, &tried, now) else { break };
+            let epoch = assignment.epoch;
+            if let Some((at, sent)) = self.sent_in_backoff.get_mut(&(node, epoch)) {
+                let counted = (*at + IN_FLIGHT_GRACE).0..(*at + BACKOFF).0;
+                *sent += u32::from(counted.contains(&now.0));
             }
-            if !self.is_refusing(node, epoch, now) {
+            if !self.is_rejecting(node, epoch, now) {
                 self.ledgers[node].record_progress(&self.heads[epoch.0 as usize - 1].id, now);
                 *self.running.entry(epoch).or_default() += 1;
-                self.ends.push(Reverse((now.0 + self.rng.random_range(300..1700), epoch)));
+                self.request_ends.push(Reverse((now.0 + self.rng.random_range(300..1700), epoch)));
                 return (tried.len() as u32, true);
             }
             tried.push(epoch);
             let id = self.heads[epoch.0 as usize - 1].id.clone();
-            match self.way {
-                Way::PassedOver => self.ledgers[node].record_rejection(&id, now),
+            match self.strategy {
+                Strategy::Avoided => self.ledgers[node].record_rejection(&id, now),
                 _ => {
-                    self.backoffs[node].insert(&id, None, SPAN, now);
+                    self.backoffs[node].insert(&id, None, BACKOFF, now);
                 }
             }
-            let first = self.asked.entry((node, epoch)).or_insert((now, 0));
-            if now >= first.0 + SPAN {
+            let first = self.sent_in_backoff.entry((node, epoch)).or_insert((now, 0));
+            if now >= first.0 + BACKOFF {
                 *first = (now, first.1);
             }
         }
         (tried.len() as u32, false)
     }
 
-    /// Plays twenty seconds with `load` of all slots of all groups.
-    fn play(mut self, load: f64) -> Outcome {
-        let per_second = load * self.heads.len() as f64 * f64::from(SLOTS);
+    /// Runs twenty seconds at `load` times the slots of all groups.
+    fn run(mut self, load: f64) -> Outcome {
+        let requests_per_second = load * self.heads.len() as f64 * f64::from(SLOTS);
         let mut outcome = Outcome::default();
         let mut time = 1000.0;
         while time < 20_000.0 {
-            time += -self.rng.random::<f64>().ln() * 1000.0 / per_second;
+            time += -self.rng.random::<f64>().ln() * 1000.0 / requests_per_second;
             let now = Millis(time as u64);
-            while self.ends.peek().is_some_and(|Reverse((end, _))| *end <= now.0) {
-                let Some(Reverse((_, epoch))) = self.ends.pop() else { break };
+            while self.request_ends.peek().is_some_and(|Reverse((end, _))| *end <= now.0) {
+                let Some(Reverse((_, epoch))) = self.request_ends.pop() else { break };
                 *self.running.get_mut(&epoch).unwrap() -= 1;
             }
             let node = self.rng.random_range(0..self.backoffs.len());
-            let (refused, served) = self.ask(node, now);
-            if REFUSING.contains(&now.0) {
+            let (rejected, served) = self.send_request(node, now);
+            if REJECTING.contains(&now.0) {
                 outcome.requests += 1;
-                outcome.refused += refused;
+                outcome.rejected += rejected;
                 outcome.served += u32::from(served);
             }
         }
-        outcome.worst = self.asked.values().map(|(_, sent)| *sent).max().unwrap_or(0);
+        outcome.max_sent_in_backoff = self.sent_in_backoff.values().map(|(_, sent)| *sent).max().unwrap_or(0);
         outcome
     }
 }
 
-/// The mean of a figure over seeds.
-fn mean(outcomes: &[Outcome], figure: impl Fn(&Outcome) -> f64) -> f64 {
-    outcomes.iter().map(figure).sum::<f64>() / outcomes.len() as f64
+/// Returns the mean of a metric over seeds.
+fn mean(outcomes: &[Outcome], metric: impl Fn(&Outcome) -> f64) -> f64 {
+    outcomes.iter().map(metric).sum::<f64>() / outcomes.len() as f64
 }
 
-fn play(way: Way, nodes: usize, groups: u64, part: f64, load: f64, partly: bool) -> Vec<Outcome> {
-    let refusing = (part * groups as f64).round() as usize;
+fn run(
+    strategy: Strategy,
+    nodes: usize,
+    groups: u64,
+    ratio: f64,
+    load: f64,
+    rejects_even_nodes_only: bool,
+) -> Vec<Outcome> {
+    let rejecting = (ratio * groups as f64).round() as usize;
     let one = |seed| {
-        let mut hall = Hall::new(way, nodes, groups, refusing, seed);
-        hall.partly = partly;
-        hall.play(load)
+        let mut hall = Hall::new(strategy, nodes, groups, rejecting, seed);
+        hall.rejects_even_nodes_only = rejects_even_nodes_only;
+        hall.run(load)
     };
     (1..=3).map(one).collect()
 }
 
-/// A hall of thirty nodes before forty groups.
-const HALL: (usize, u64) = (30, 40);
+/// A hall of thirty nodes and forty groups.
+const HALL_SIZE: (usize, u64) = (30, 40);
 
 #[test]
-fn a_runner_that_wants_no_requests_gets_none_from_a_node_that_it_told() {
-    for part in [0.1, 0.3, 0.6, 1.0] {
-        for way in [Way::Named, Way::Doubted] {
-            let all = play(way, 4, 6, part, 0.6, false);
-            assert!(all.iter().all(|one| one.worst == 0), "{part} refuse, {way:?}: {all:?}");
+fn a_runner_that_is_backing_off_from_a_node_gets_no_requests_from_it() {
+    for ratio in [0.1, 0.3, 0.6, 1.0] {
+        for strategy in [Strategy::Named, Strategy::Doubted] {
+            let all = run(strategy, 4, 6, ratio, 0.6, false);
+            assert!(
+                all.iter().all(|one| one.max_sent_in_backoff == 0),
+                "ratio {ratio} of the heads reject, {strategy:?}: {all:?}"
+            );
         }
     }
-    let forgotten = play(Way::Forgotten, 4, 6, 0.3, 0.6, false);
-    assert!(forgotten.iter().all(|one| one.worst > 2), "the load shows the harm: {forgotten:?}");
+    let ignored = run(Strategy::Ignored, 4, 6, 0.3, 0.6, false);
+    assert!(
+        ignored.iter().all(|one| one.max_sent_in_backoff > 2),
+        "the test reproduces the failure: {ignored:?}"
+    );
 }
 
 #[test]
-fn what_one_node_was_told_saves_the_others_from_being_turned_away() {
-    let (nodes, groups) = HALL;
-    let named = play(Way::Named, nodes, groups, 0.3, 0.6, false);
-    let doubted = play(Way::Doubted, nodes, groups, 0.3, 0.6, false);
-    let refused = [&named, &doubted].map(|all| mean(all, Outcome::refused));
-    assert!(refused[1] < refused[0] / 10.0, "tries that were turned away: {refused:?}");
-    assert!(mean(&doubted, Outcome::served) > 0.99, "there is room for all: {doubted:?}");
+fn a_backoff_from_one_node_saves_the_others_from_rejections() {
+    let (nodes, groups) = HALL_SIZE;
+    let named = run(Strategy::Named, nodes, groups, 0.3, 0.6, false);
+    let doubted = run(Strategy::Doubted, nodes, groups, 0.3, 0.6, false);
+    let rejected = [&named, &doubted].map(|all| mean(all, Outcome::rejected));
+    assert!(rejected[1] < rejected[0] / 10.0, "rejected attempts per request: {rejected:?}");
+    assert!(mean(&doubted, Outcome::served) > 0.99, "there are free slots for all: {doubted:?}");
 }
 
 #[test]
-fn a_runner_that_turns_some_nodes_away_is_not_lost_for_the_others() {
-    let (nodes, groups) = HALL;
-    let doubted = play(Way::Doubted, nodes, groups, 0.6, 0.6, true);
-    let shared = play(Way::Shared, nodes, groups, 0.6, 0.6, true);
+fn a_runner_that_rejects_some_nodes_still_serves_the_others() {
+    let (nodes, groups) = HALL_SIZE;
+    let doubted = run(Strategy::Doubted, nodes, groups, 0.6, 0.6, true);
+    let shared = run(Strategy::Shared, nodes, groups, 0.6, 0.6, true);
     let served = [&doubted, &shared].map(|all| mean(all, Outcome::served));
-    assert!(served[0] > 0.95 && served[1] < 0.9, "served where nodes doubt, and share: {served:?}");
+    assert!(served[0] > 0.95 && served[1] < 0.9, "served with doubts, and with shared backoffs: {served:?}");
 }
 
 #[test]
-fn runners_that_turn_all_away_and_name_no_time_are_passed_over() {
-    let (nodes, groups) = HALL;
-    let forgotten = play(Way::Forgotten, nodes, groups, 0.3, 0.6, false);
-    let passed = play(Way::PassedOver, nodes, groups, 0.3, 0.6, false);
-    let refused = [&forgotten, &passed].map(|all| mean(all, Outcome::refused));
-    let served = [&forgotten, &passed].map(|all| mean(all, Outcome::served));
-    assert!(refused[1] < refused[0] / 5.0, "tries that were turned away: {refused:?}");
+fn runners_that_reject_all_requests_without_a_backoff_are_avoided() {
+    let (nodes, groups) = HALL_SIZE;
+    let ignored = run(Strategy::Ignored, nodes, groups, 0.3, 0.6, false);
+    let avoided = run(Strategy::Avoided, nodes, groups, 0.3, 0.6, false);
+    let rejected = [&ignored, &avoided].map(|all| mean(all, Outcome::rejected));
+    let served = [&ignored, &avoided].map(|all| mean(all, Outcome::served));
+    assert!(rejected[1] < rejected[0] / 5.0, "rejected attempts per request: {rejected:?}");
     assert!(served[0] < 0.7 && served[1] > 0.95, "served: {served:?}");
 }
