--- a/crates/node/src/crash.rs
+++ b/crates/node/src/crash.rs
@@ -15,9 +15,9 @@
 
 use crate::attempt::{AttemptError, Job, Pick};
 use crate::channel::{Channel, ChannelError};
-use crate::figures;
 use crate::state::Node;
 use crate::suspects;
+use crate::telemetry;
 
 /// What was found out of a runner holds for this long: all requests that broke off there do
 /// so within some milliseconds, and a new life takes seconds to start.
@@ -129,7 +129,7 @@
         true => Finding::Sound,
         false => ask(node, pick).await,
     };
-    figures::count_finding(finding.name());
+    telemetry::count_finding(finding.name());
     if finding == Finding::Unknown {
         tokio::spawn(follow(node.clone(), pick.clone()));
     }
--- a/crates/node/src/decider.rs
+++ b/crates/node/src/decider.rs
@@ -29,11 +29,11 @@
 use thiserror::Error;
 
 use crate::era;
-use crate::figures;
 use crate::news;
 use crate::plans::{Kept, PlanError, Plans, read_plans, write_plan};
 use crate::prober;
 use crate::state::{Holder, Node};
+use crate::telemetry;
 
 /// The key that goes with the lease; its value names the deciding node.
 pub const LEASE_KEY: &str = "decider";
@@ -355,7 +355,7 @@
                 };
                 (step(&scene, &mut self.memory.lock()), census::count(&scene, engine))
             };
-            figures::record_look(self.node.now().since(begun));
+            telemetry::record_look(self.node.now().since(begun));
             self.log_census(&service.id, census);
             self.log_parts(service);
             self.carry_out(step).await?;
--- a/crates/node/src/era.rs
+++ b/crates/node/src/era.rs
@@ -12,9 +12,9 @@
 use cottoncrank_platform::item::{Change, Raw, decode, is_catalog};
 use cottoncrank_platform::store::Batch;
 
-use crate::figures;
 use crate::plans::read_plan;
 use crate::state::Node;
+use crate::telemetry;
 
 /// What a value that nodes or operators keep in force says of its age: the greater, the later.
 /// None for all other items, which their writers write again.
@@ -30,7 +30,7 @@
 /// in force here and is later than that takes its place.
 pub(crate) fn enter(node: &Node, before: Position, batch: &mut Batch) {
     log::warn!("sync: the store came back from an older copy: at {}, after {before}", batch.position);
-    figures::count_era();
+    telemetry::count_era();
     node.store.raise_era(batch.position.era());
     // Runners write their entries again within seconds; none is given up for that.
     node.roster.lock().start_grace_period(node.now());
@@ -50,7 +50,7 @@
     }
     let kind = if is_catalog(&held) { "catalog" } else { "plan" };
     log::info!("sync: `{}` of {} is kept, the store has an older one", held.key, held.position);
-    figures::count_carried(kind);
+    telemetry::count_carried(kind);
     match place {
         Some(place) => batch.items[place] = held,
         None => batch.items.push(held),
--- a/crates/node/src/intake.rs
+++ b/crates/node/src/intake.rs
@@ -13,9 +13,9 @@
 use crate::era;
 use crate::member;
 use crate::plans::read_plan;
-use crate::record;
 use crate::retries;
 use crate::state::Node;
+use crate::suspect_store;
 use crate::unreadable::Part;
 
 /// What was learned.
@@ -80,7 +80,8 @@
             Ok(Change::Runner(runner)) => runners.push(runner),
             Ok(Change::Own(item)) if item.key == LEASE_KEY => decider = Some(decider::read_holder(&item)),
             Ok(Change::Own(item)) => {
-                suspects.extend(record::read_entry(&item).and_then(Result::ok).map(|row| row.fingerprint));
+                suspects
+                    .extend(suspect_store::read_entry(&item).and_then(Result::ok).map(|row| row.fingerprint));
                 nodes.extend(member::read_name(&item.key));
                 take_own(node, &item);
             }
@@ -90,7 +91,7 @@
     log::info!("store: read whole at revision {position}, {} runners", runners.len());
     // What a copy lacks was not removed by operators.
     if !back {
-        record::retain(node, &suspects);
+        suspect_store::retain(node, &suspects);
         node.directory.lock().retain(|name| nodes.contains(name));
         retries::take_share(node);
     }
@@ -161,9 +162,9 @@
         }
         return;
     }
-    if let Some(entry) = record::read_entry(item) {
+    if let Some(entry) = suspect_store::read_entry(item) {
         match entry {
-            Ok(row) => record::take(node, &row),
+            Ok(row) => suspect_store::take(node, &row),
             Err(error) => node.note_unreadable(&item.key, Part::Suspect, "form", error),
         }
         return;
@@ -191,7 +192,7 @@
         }
         node.directory.lock().remove(&name);
         retries::take_share(node);
-    } else if !record::take_gone(node, key) {
+    } else if !suspect_store::take_gone(node, key) {
         log::warn!("store: `{key}` was removed");
     }
 }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -10,7 +10,7 @@
 //! to the runners, which `prober` asks how they are, while this node holds the lease for
 //! that. `backoff` keeps for how long runners want no requests. `crash` finds out whether a runner
 //! ended under a request, `suspects` exchanges that
-//! with other nodes and says what becomes of the request, and `record` keeps it in the store. `pulse`
+//! with other nodes and says what becomes of the request, and `suspect_store` keeps it in the store. `suspension`
 //! notices that the process did not run for a while.
 //! `unreadable` bounds what the log tells of items that cannot be read. All state stands in
 //! [`state::Node`].
@@ -27,7 +27,6 @@
 mod dispatch;
 mod era;
 pub mod feed;
-pub mod figures;
 pub mod flight;
 pub mod front;
 mod intake;
@@ -40,8 +39,6 @@
 mod presence;
 mod prober;
 pub mod program;
-mod pulse;
-mod record;
 mod relay;
 pub mod request;
 mod retries;
@@ -49,8 +46,11 @@
 pub mod start;
 pub mod state;
 pub mod stream;
+mod suspect_store;
 mod suspects;
+mod suspension;
 pub mod sync;
+pub mod telemetry;
 mod throttle;
 mod tries;
 mod unreadable;
--- a/crates/node/src/peer.rs
+++ b/crates/node/src/peer.rs
@@ -25,11 +25,11 @@
 use crate::collect;
 use crate::dispatch;
 use crate::feed::UnpackError;
-use crate::figures;
 use crate::front::pause_accepting;
 use crate::retries::{self, Loan};
 use crate::state::Node;
 use crate::suspects::{self, Letter};
+use crate::telemetry;
 use crate::throttle::{self, Place, Plea};
 
 /// The path of the question.
@@ -179,7 +179,7 @@
     let asked = bytes.len();
     let answer = answer_read(node, &path, bytes).await;
     let answered = answer.body().size_hint().exact().unwrap_or(0) as usize;
-    figures::count_question(find_kind(&path), asked, answered);
+    telemetry::count_question(find_kind(&path), asked, answered);
     answer
 }
 
--- a/crates/node/src/plain.rs
+++ b/crates/node/src/plain.rs
@@ -13,10 +13,10 @@
 use crate::attempt::{Attempt, AttemptError, Job, Pick, send};
 use crate::candidates::{has_free, pick as pick_free, pick_at, refuse_unwilling};
 use crate::crash;
-use crate::figures;
 use crate::retries;
 use crate::state::Node;
 use crate::suspects;
+use crate::telemetry;
 use crate::throttle::{self, Place};
 
 /// The largest answer that is held until it is whole, in bytes.
@@ -70,7 +70,7 @@
                 return Ok(answer);
             }
             Err(error) => {
-                figures::count_failed_attempt(error.reason());
+                telemetry::count_failed_attempt(error.reason());
                 log::info!("request {}: try {} at {}: {error}", job.id(), tried.len(), pick.id);
                 arrived |= error.has_arrived();
                 crash::investigate(node, job, &pick, &error).await;
--- a/crates/node/src/prober.rs
+++ b/crates/node/src/prober.rs
@@ -11,8 +11,8 @@
 use parking_lot::Mutex;
 use tokio::task::JoinSet;
 
-use crate::figures;
 use crate::state::Node;
+use crate::telemetry;
 
 /// How long a question to a runner may take; the way there and back takes a few
 /// milliseconds.
@@ -43,7 +43,7 @@
             asking.spawn(ask_member(client.clone(), runner, silent));
         }
         let round = asking.join_all().await;
-        figures::count_probes(round.iter().map(|(answer, _)| answer.asked as usize).sum());
+        telemetry::count_probes(round.iter().map(|(answer, _)| answer.asked as usize).sum());
         let mut answers = Vec::with_capacity(round.len());
         for (answer, leaving) in round {
             if let Some(life) = answer.incarnation {
--- a/crates/node/src/program.rs
+++ b/crates/node/src/program.rs
@@ -13,7 +13,7 @@
 
 use crate::start::{Listeners, drain, start};
 use crate::state::Node;
-use crate::{figures, log};
+use crate::{log, telemetry};
 
 /// How often the settings are looked at without being told.
 const REREAD: Millis = Millis(10_000);
@@ -64,12 +64,12 @@
 
 /// Shows the figures. A node without them serves all the same.
 async fn show_figures(node: &Arc<Node>) {
-    let address = SocketAddr::new(node.settings().peers.ip(), figures::PORT);
-    let (Some(handle), listener) = (figures::install(), TcpListener::bind(address).await) else { return };
+    let address = SocketAddr::new(node.settings().peers.ip(), telemetry::PORT);
+    let (Some(handle), listener) = (telemetry::install(), TcpListener::bind(address).await) else { return };
     match listener {
         Ok(listener) => {
-            tokio::spawn(figures::sample(node.clone()));
-            tokio::spawn(figures::serve(listener, handle));
+            tokio::spawn(telemetry::sample(node.clone()));
+            tokio::spawn(telemetry::serve(listener, handle));
         }
         Err(error) => ::log::warn!("figures: not shown, {address}: {error}"),
     }
--- a/crates/node/src/relay.rs
+++ b/crates/node/src/relay.rs
@@ -9,11 +9,11 @@
 
 use crate::answer::Refusal;
 use crate::attempt::{AttemptError, Job};
-use crate::figures;
 use crate::flight::{Admitted, Running};
 use crate::source::{Next, PATIENCE, Source, read_next};
 use crate::state::Node;
 use crate::suspects::{record_completed, wait_deadly};
+use crate::telemetry;
 use crate::tries::{Tries, next_attempt};
 
 /// Passes the rest of a stream on.
@@ -51,7 +51,7 @@
             outcome = self.pass_on() => match outcome {
                 Ok(()) => {}
                 Err(refusal) => {
-                    figures::count_cut();
+                    telemetry::count_cut();
                     log::warn!("request {request}: the stream is cut: {refusal}");
                     // A caller that is gone needs no cut.
                     let _ = feed.send(Err(Cut)).await;
@@ -59,7 +59,7 @@
             },
             () = feed.closed() => log::info!("request {request}: the caller left"),
             () = node.wait_until(job.end) => {
-                figures::count_cut();
+                telemetry::count_cut();
                 log::warn!("request {request}: the stream is cut: its time is over");
                 let _ = feed.try_send(Err(Cut));
             }
--- a/crates/node/src/request.rs
+++ b/crates/node/src/request.rs
@@ -19,7 +19,7 @@
 use crate::candidates::refuse_unwilling;
 use crate::flight::Running;
 use crate::state::Node;
-use crate::{figures, plain, stream, suspects};
+use crate::{plain, stream, suspects, telemetry};
 
 /// The urgency of a request where neither account nor route says one.
 const PRIORITY_MAX: u8 = 9;
@@ -52,10 +52,10 @@
         Err(refusal) => Err(refusal),
     };
     let waited = node.now().since(arrived);
-    figures::count_request(kind, outcome.as_ref().err().map_or("answered", Refusal::reason));
+    telemetry::count_request(kind, outcome.as_ref().err().map_or("answered", Refusal::reason));
     match outcome {
         Ok(answer) => {
-            figures::record_first(kind, waited);
+            telemetry::record_first(kind, waited);
             answer
         }
         Err(refusal) => {
--- a/crates/node/src/retries.rs
+++ b/crates/node/src/retries.rs
@@ -9,9 +9,9 @@
 
 use crate::attempt::Job;
 use crate::dispatch::{ANSWER, avoid, find_asked};
-use crate::figures;
 use crate::peer;
 use crate::state::Node;
+use crate::telemetry;
 
 /// Of the fleet's retries so much is spent: requests that arrive twice by other ways count in the
 /// rest.
@@ -62,7 +62,7 @@
     if !lent {
         log::info!("retries: {} gets none, all of the hall are spent", loan.node);
     }
-    figures::count_loan(lent);
+    telemetry::count_loan(lent);
     lent
 }
 
--- a/crates/node/src/start.rs
+++ b/crates/node/src/start.rs
@@ -9,7 +9,7 @@
 use tokio::task::JoinSet;
 
 use crate::state::Node;
-use crate::{collect, decider, front, member, peer, presence, pulse, record, sync};
+use crate::{collect, decider, front, member, peer, presence, suspect_store, suspension, sync};
 
 /// Kept of the time between the order to stop and the kill.
 const GRACE_MARGIN: Millis = Millis(700);
@@ -46,8 +46,8 @@
     tasks.spawn(member::run(node.clone()));
     tasks.spawn(presence::run(node.clone()));
     tasks.spawn(collect::run(node.clone()));
-    tasks.spawn(record::run(node.clone()));
-    tasks.spawn(pulse::run(node.clone()));
+    tasks.spawn(suspect_store::run(node.clone()));
+    tasks.spawn(suspension::run(node.clone()));
     tasks.spawn(peer::serve(node.clone(), listeners.peers));
     tasks.spawn(decider::run(node.clone()));
     tasks.spawn(front::serve_ready(node.clone(), listeners.ready));
--- a/crates/node/src/state.rs
+++ b/crates/node/src/state.rs
@@ -39,10 +39,10 @@
 use crate::avoid::Avoided;
 use crate::crash::Findings;
 use crate::feed::Feed;
-use crate::figures;
 use crate::flight::Lane;
 use crate::retries;
 use crate::suspects;
+use crate::telemetry;
 use crate::unreadable::{Part, Unreadable};
 
 /// The node that holds the lease for deciding.
@@ -310,7 +310,7 @@
 
     /// An item of the store cannot be read.
     pub(crate) fn note_unreadable(&self, key: &str, part: Part, reason: &'static str, why: impl Display) {
-        figures::count_unreadable(part.name(), reason);
+        telemetry::count_unreadable(part.name(), reason);
         if self.unreadable.lock().tells(key, self.now()) {
             log::error!("store: `{key}` ({}) is not used: {why}", part.name());
         }
--- a/crates/node/src/pulse.rs
+++ b/crates/node/src/suspension.rs
@@ -8,9 +8,9 @@
 use cottoncrank::Millis;
 use cottoncrank::clock::{Suspension, SuspensionDetector};
 
-use crate::figures;
 use crate::state::Node;
 use crate::suspects;
+use crate::telemetry;
 
 /// How often the clocks are compared: a request whose time was over during a suspension is
 /// answered this long after it at the latest.
@@ -36,6 +36,6 @@
         "node: this process was {gap}; changes of the store may be missed for {silence}, {} requests under way",
         node.running()
     );
-    figures::count_gap(&gap);
+    telemetry::count_gap(&gap);
     node.woken.send_modify(|times| *times += 1);
 }
--- a/crates/node/src/sync.rs
+++ b/crates/node/src/sync.rs
@@ -14,11 +14,11 @@
 use thiserror::Error;
 
 use crate::feed::{self, UnpackError};
-use crate::figures;
 use crate::intake::{Learned, Proof, take_in};
 use crate::member;
 use crate::peer::{self, Ask, AskError};
 use crate::state::Node;
+use crate::telemetry;
 
 /// How long one watch waits. An answer without changes proves that the keys
 /// held here are not old. A watch on a connection gone silent is noticed after
@@ -237,12 +237,12 @@
                 self.position = None;
             }
             (Err(error), Source::Reader(peer) | Source::Upstream(peer)) => {
-                figures::count_source_failure("node", error.reason());
+                telemetry::count_source_failure("node", error.reason());
                 log::info!("sync: {} is passed over: {error}", peer.node);
                 self.sources.record_failure(peer.node, error.failure(now.since(began)), now);
             }
             (Err(error), Source::Store | Source::Wait(_)) => {
-                figures::count_source_failure("store", error.reason());
+                telemetry::count_source_failure("store", error.reason());
                 if self.reached {
                     log::warn!("sync: {error}; going on with what is known at {}", self.show_position());
                 }
--- a/crates/node/src/throttle.rs
+++ b/crates/node/src/throttle.rs
@@ -20,9 +20,9 @@
 use crate::attempt::{Job, Pick};
 use crate::candidates::{has_free, list_throttled};
 use crate::dispatch::{ANSWER, avoid, find_asked};
-use crate::figures;
 use crate::peer;
 use crate::state::Node;
+use crate::telemetry;
 
 /// A node tells its collector what runners said to it within this time: it has told what is older
 /// in an earlier report.
@@ -70,7 +70,7 @@
     let heard = node.now();
     put(node, Claim { runner: pick.id.clone(), life: pick.life, rate, asked, heard }, "says");
     if rate.is_some() {
-        figures::count_limited(&pick.hall);
+        telemetry::count_limited(&pick.hall);
     }
 }
 
--- a/crates/node/src/tries.rs
+++ b/crates/node/src/tries.rs
@@ -11,11 +11,11 @@
 use crate::candidates::{find_pick, pick, refuse_unwilling};
 use crate::crash;
 use crate::dispatch;
-use crate::figures;
 use crate::retries;
 use crate::source::wait_unless_silent;
 use crate::state::Node;
 use crate::suspects;
+use crate::telemetry;
 use crate::throttle;
 
 /// Tries of one request, refused ones included.
@@ -60,7 +60,7 @@
         self.sent += u32::from(error.may_have_run());
         self.full += u32::from(matches!(error, AttemptError::Full(_)));
         self.arrived |= error.has_arrived();
-        figures::count_failed_attempt(error.reason());
+        telemetry::count_failed_attempt(error.reason());
         let runner = self.tried.last().map_or("-", id::Runner::as_str);
         let chooser = if self.promise.is_some() { "the collector" } else { "this node" };
         log::info!(
