--- a/crates/node/src/backoff.rs
+++ b/crates/node/src/backoff.rs
@@ -23,7 +23,7 @@
         log::warn!("backoff: {id}: {error}; taken for {UNREAD}");
         Some(UNREAD)
     })?;
-    if node.said.lock().backoffs.put(id, life, span, node.now()) {
+    if node.feedback.lock().backoffs.put(id, life, span, node.now()) {
         log::info!("backoff: {id} wants no requests for {span}");
     }
     Some(span)
@@ -31,5 +31,5 @@
 
 /// Whether a runner wants no requests from this node at present.
 pub(crate) fn is_unwilling(node: &Node, id: &id::Runner, life: Option<Incarnation>) -> bool {
-    node.said.lock().backoffs.find(id, life, node.now()).is_some()
+    node.feedback.lock().backoffs.find(id, life, node.now()).is_some()
 }
--- a/crates/node/src/candidates.rs
+++ b/crates/node/src/candidates.rs
@@ -31,7 +31,7 @@
     admits: impl Fn(Admission) -> bool,
 ) -> Vec<&'a Runner> {
     let (mut candidates, now) = (list_candidates(node, roster, job), node.now());
-    let said = node.said.lock();
+    let said = node.feedback.lock();
     candidates.retain(|runner| admits(said.ask(&runner.id, runner.incarnation, now)));
     candidates
 }
@@ -59,7 +59,7 @@
 pub fn list_throttled(node: &Node, job: &Job, tried: &[id::Runner]) -> Vec<(id::Runner, Rate)> {
     let (roster, now) = (node.roster.lock(), node.now());
     let candidates = list_willing(node, &roster, job);
-    let (ledger, said) = (node.ledger.lock(), node.said.lock());
+    let (ledger, said) = (node.ledger.lock(), node.feedback.lock());
     let usable =
         candidates.into_iter().filter(|runner| !tried.contains(&runner.id) && ledger.is_sound(runner, now));
     let rated = usable.filter_map(|runner| match said.ask(&runner.id, runner.incarnation, now) {
@@ -82,12 +82,12 @@
 /// wait or to try for.
 pub fn refuse_unwilling(node: &Node, job: &Job) -> Option<Refusal> {
     let now = node.now();
-    if node.said.lock().backoffs.is_empty(now) {
+    if node.feedback.lock().backoffs.is_empty(now) {
         return None;
     }
     let roster = node.roster.lock();
     let candidates = list_candidates(node, &roster, job);
-    let said = node.said.lock();
+    let said = node.feedback.lock();
     let ends = candidates.iter().map(|runner| match said.ask(&runner.id, runner.incarnation, now) {
         Admission::Closed(until) => Some(until),
         Admission::Open | Admission::Rated(_) => None,
@@ -106,14 +106,14 @@
         candidates.into_iter().filter(|runner| ledger.is_sound(runner, now)).count()
     };
     let (service, model) = job.lane();
-    node.usual.lock().record(&service, model.as_ref(), sound, now)
+    node.trial_baseline.lock().record(&service, model.as_ref(), sound, now)
 }
 
 /// Whether the runners of a request have room for it; none if nobody knows.
 pub fn has_room(node: &Node, job: &Job) -> Option<bool> {
     let roster = node.roster.lock();
     let candidates = list_free(node, &roster, job);
-    let (ledger, view) = (node.ledger.lock(), node.view.lock());
+    let (ledger, view) = (node.ledger.lock(), node.fleet_load.lock());
     balance::has_room(&candidates, &ledger, &view, node.now())
 }
 
@@ -147,7 +147,7 @@
     let free = {
         let roster = node.roster.lock();
         let candidates = list_free(node, &roster, job);
-        let (ledger, view) = (node.ledger.lock(), node.view.lock());
+        let (ledger, view) = (node.ledger.lock(), node.fleet_load.lock());
         let picked = balance::pick(&candidates, tried, &ledger, &view, node.now(), &mut rand::rng());
         picked.map(|runner| write_pick(node, job, runner))
     };
--- a/crates/node/src/collect.rs
+++ b/crates/node/src/collect.rs
@@ -40,22 +40,22 @@
     let client = Client::new(Traffic::default());
     loop {
         let settings = node.settings();
-        node.untold.lock().forget(node.now());
+        node.unreachable_for_reports.lock().forget(node.now());
         throttle::forget(&node);
-        let collector = find_collector(&node, &settings.hall, &node.untold.lock());
+        let collector = find_collector(&node, &settings.hall, &node.unreachable_for_reports.lock());
         let failed = match collector {
             Some(collector) if collector.node != settings.node => {
                 let told = tell(&node, &client, &collector).await;
                 if told.is_ok() {
                     node.presence.lock().stop_collecting();
-                    node.pool.lock().resign();
+                    node.retry_pool.lock().resign();
                 }
                 told.err().into_iter().collect()
             }
             _ => tell_halls(&node, &client, list_others(&node, &settings.hall)).await,
         };
         for name in failed {
-            node.untold.lock().add(name, node.now() + AVOID);
+            node.unreachable_for_reports.lock().add(name, node.now() + AVOID);
         }
         wait_turn(&node).await;
     }
@@ -82,7 +82,7 @@
 fn list_others(node: &Node, hall: &id::Hall) -> Vec<Peer> {
     let halls: Vec<id::Hall> = node.directory.lock().list_halls().into_iter().cloned().collect();
     let others = halls.iter().filter(|other| *other != hall);
-    others.filter_map(|other| find_collector(node, other, &node.untold.lock())).collect()
+    others.filter_map(|other| find_collector(node, other, &node.unreachable_for_reports.lock())).collect()
 }
 
 /// Tells the collector of this hall. Returns its name if it does not answer.
@@ -129,7 +129,7 @@
 
 fn put_view(node: &Node, others: Sum, asked: Millis) {
     let known = node.directory.lock().count();
-    node.view.lock().put(others, known, asked);
+    node.fleet_load.lock().put(others, known, asked);
 }
 
 /// What this node tells a collector.
@@ -167,7 +167,7 @@
         Scope::Node => node.presence.lock().record_report(&report.node, now),
         Scope::Hall => {
             node.presence.lock().record_hall_report(&report.hall, now);
-            node.rations.lock().hear(&report.hall, &report.wants);
+            node.allocations.lock().hear(&report.hall, &report.wants);
         }
     }
     node.reports.lock().put(report, now);
--- a/crates/node/src/crash.rs
+++ b/crates/node/src/crash.rs
@@ -115,7 +115,13 @@
 
 fn note_break(node: &Node, pick: &Pick, row: Row) {
     let (runner, life, address) = (pick.id.clone(), pick.life, pick.address);
-    node.breaks.lock().record(Interruption { row, runner, incarnation: life, address, at: node.now() });
+    node.interruptions.lock().record(Interruption {
+        row,
+        runner,
+        incarnation: life,
+        address,
+        at: node.now(),
+    });
 }
 
 /// Finds out what became of the runner of a try that broke off.
@@ -144,7 +150,7 @@
         if finding == Finding::Unknown {
             continue;
         }
-        let rows = node.breaks.lock().take_crashed(&pick.id, pick.life, node.now());
+        let rows = node.interruptions.lock().take_crashed(&pick.id, pick.life, node.now());
         if finding == Finding::Ended && !rows.is_empty() {
             log::info!("crash: {} has ended under {} requests", pick.id, rows.len());
             suspects::take(&node, &rows, Origin::Hall);
--- a/crates/node/src/decider.rs
+++ b/crates/node/src/decider.rs
@@ -32,7 +32,7 @@
 use crate::news;
 use crate::plans::{Kept, PlanError, Plans, read_plans, write_plan};
 use crate::prober;
-use crate::state::{Holder, Node};
+use crate::state::{DeciderLease, Node};
 use crate::telemetry;
 
 /// The key that goes with the lease; its value names the deciding node.
@@ -177,7 +177,7 @@
 
 /// Whether a node decides, as far as the lease's key says. One that cannot be read, but goes
 /// with a lease, is held: its holder may decide until the lease is over.
-fn is_held(holder: &Option<Holder>) -> bool {
+fn is_held(holder: &Option<DeciderLease>) -> bool {
     holder.as_ref().is_some_and(|holder| holder.leased)
 }
 
@@ -201,7 +201,7 @@
         until: asked + ttl,
         renewed: asked,
         plans,
-        memory: Arc::new(Mutex::new(Memory::resume(&node.halts.lock()))),
+        memory: Arc::new(Mutex::new(Memory::resume(&node.stalls.lock()))),
         probes: Arc::default(),
         census: HashMap::new(),
         parts: HashMap::new(),
@@ -209,12 +209,12 @@
 }
 
 /// Reads who decides from the lease's key.
-pub fn read_holder(item: &Item) -> Holder {
+pub fn read_holder(item: &Item) -> DeciderLease {
     let name = std::str::from_utf8(&item.value).ok().and_then(|name| name.parse().ok());
     if name.is_none() {
         log::error!("store: `{}` names no node", item.key);
     }
-    Holder { position: item.position, leased: item.leased, node: name }
+    DeciderLease { position: item.position, leased: item.leased, node: name }
 }
 
 impl Term {
@@ -291,7 +291,7 @@
             self.reread(now).await;
             self.decide().await?;
             // A change wakes the decider early; both ways it looks again.
-            let _ = tokio::time::timeout(LOOK.duration(), self.node.changed.notified()).await;
+            let _ = tokio::time::timeout(LOOK.duration(), self.node.fleet_changed.notified()).await;
             tokio::time::sleep(GATHER.duration()).await;
         }
     }
--- a/crates/node/src/dispatch.rs
+++ b/crates/node/src/dispatch.rs
@@ -31,7 +31,7 @@
 pub fn note_first(node: &Node, job: &Job, promise: Promise, took: Millis) {
     let (service, Some(model)) = job.lane() else { return };
     let later = took.0 as i64 - promise.expected as i64;
-    let mut samples = node.samples.lock();
+    let mut samples = node.unsent_samples.lock();
     if samples.len() < SAMPLES {
         samples.push(Sample { service, model, later });
     }
@@ -50,9 +50,9 @@
         urgency,
         patience: job.patience(node.now()),
         tried: list_epochs(node, tried),
-        unwilling: node.list_unwilling(),
+        unwilling: node.list_backing_off(),
         fingerprint: job.fingerprint,
-        samples: std::mem::take(&mut *node.samples.lock()),
+        samples: std::mem::take(&mut *node.unsent_samples.lock()),
     };
     let collector = find_asked(node)?;
     if collector.node == settings.node {
@@ -71,14 +71,14 @@
 /// The collector that this node asks.
 pub(crate) fn find_asked(node: &Node) -> Option<Peer> {
     let hall = &node.settings().hall;
-    let mut avoided = node.unanswering.lock();
+    let mut avoided = node.unreachable_for_queries.lock();
     avoided.forget(node.now());
     find_collector(node, hall, &avoided)
 }
 
 /// A collector did not answer a question and is not asked for a while.
 pub(crate) fn avoid(node: &Node, collector: Peer) {
-    node.unanswering.lock().add(collector.node, node.now() + AVOID);
+    node.unreachable_for_queries.lock().add(collector.node, node.now() + AVOID);
 }
 
 fn list_epochs(node: &Node, runners: &[id::Runner]) -> Vec<Epoch> {
@@ -166,7 +166,7 @@
 
 /// What becomes of a request that a node asks for, as far as this hall knows.
 fn rule(node: &Node, question: &Question, groups: usize, now: Millis) -> Ruling {
-    let takers = node.usual.lock().record(&question.service, Some(&question.model), groups, now);
+    let takers = node.trial_baseline.lock().record(&question.service, Some(&question.model), groups, now);
     let level = node.suspects.lock().level(&question.fingerprint);
     let mut trials = node.trials.lock();
     trials.finish_at(&question.fingerprint, &question.tried);
--- a/crates/node/src/flight.rs
+++ b/crates/node/src/flight.rs
@@ -26,7 +26,7 @@
 
     /// How many requests of a lane are under way here.
     pub fn count_running(&self, lane: &Lane) -> u32 {
-        self.limits.lock().get(lane).map_or(0, Limit::running)
+        self.concurrency_limits.lock().get(lane).map_or(0, Limit::running)
     }
 
     /// Counts a request against the limit of its lane, if there is room within `wait`.
@@ -42,7 +42,7 @@
         loop {
             {
                 let room = find_room();
-                let mut limits = self.limits.lock();
+                let mut limits = self.concurrency_limits.lock();
                 let limit = limits.entry(lane.clone()).or_default();
                 if room.unwrap_or(false) || limit.admits() {
                     limit.begin();
@@ -54,13 +54,13 @@
                 return None;
             }
             // Either way the limit is looked at again.
-            let _ = tokio::time::timeout(left.duration(), self.ended.notified()).await;
+            let _ = tokio::time::timeout(left.duration(), self.request_ended.notified()).await;
         }
     }
 
     /// Counts a request for which a group was chosen.
     pub fn admit_chosen(self: &Arc<Self>, lane: &Lane) -> Admitted {
-        self.limits.lock().entry(lane.clone()).or_default().begin();
+        self.concurrency_limits.lock().entry(lane.clone()).or_default().begin();
         Admitted { node: self.clone(), lane: lane.clone() }
     }
 
@@ -89,12 +89,12 @@
 impl Admitted {
     /// The limit at present.
     pub fn level(&self) -> f64 {
-        self.node.limits.lock().get(&self.lane).map_or(0.0, Limit::level)
+        self.node.concurrency_limits.lock().get(&self.lane).map_or(0.0, Limit::level)
     }
 
     /// The first event came: in time, or not.
     pub fn note_first(&self, in_time: bool) {
-        let mut limits = self.node.limits.lock();
+        let mut limits = self.node.concurrency_limits.lock();
         let limit = limits.entry(self.lane.clone()).or_default();
         match in_time {
             true => limit.note_in_time(),
@@ -105,10 +105,10 @@
 
 impl Drop for Admitted {
     fn drop(&mut self) {
-        if let Some(limit) = self.node.limits.lock().get_mut(&self.lane) {
+        if let Some(limit) = self.node.concurrency_limits.lock().get_mut(&self.lane) {
             limit.end();
         }
-        self.node.ended.notify_one();
+        self.node.request_ended.notify_one();
     }
 }
 
--- a/crates/node/src/intake.rs
+++ b/crates/node/src/intake.rs
@@ -55,7 +55,7 @@
         false => take_changes(node, learned.batch),
     };
     if caught_up {
-        node.note_contact(learned.contact);
+        node.record_contact(learned.contact);
         let mut freshness = node.freshness.lock();
         match learned.proven {
             Proof::Read(asked) => freshness.prove_read(asked),
@@ -63,7 +63,7 @@
         }
     }
     if changes > 0 {
-        node.changed.notify_one();
+        node.fleet_changed.notify_one();
     }
 }
 
@@ -121,7 +121,7 @@
         Ok(Change::Catalog(catalog)) => take_catalog(node, catalog),
         Ok(Change::Runner(runner)) => {
             log::debug!("roster: {} is {:?} draining {}", runner.id, runner.membership, runner.draining);
-            node.put_runner(runner);
+            node.insert_runner(runner);
         }
         Ok(Change::RunnerGone(id)) => {
             log::info!("roster: the entry of {id} is gone");
@@ -132,13 +132,13 @@
         }
         Ok(Change::Own(item)) => take_own(node, &item),
         Ok(Change::OwnGone(key)) => take_own_gone(node, &key),
-        Ok(Change::Foreign(key)) => node.note_unreadable(&key, Part::Foreign, "key", "nothing of ours"),
+        Ok(Change::Foreign(key)) => node.report_invalid_item(&key, Part::Foreign, "key", "nothing of ours"),
         Err(error @ ItemError::Catalog(_)) => {
-            node.note_unreadable("catalog", Part::Catalog, "form", error);
+            node.report_invalid_item("catalog", Part::Catalog, "form", error);
             return false;
         }
         Err(ItemError::Runner(name, error)) => {
-            node.note_unreadable(&name, Part::Runner, error.reason(), &error);
+            node.report_invalid_item(&name, Part::Runner, error.reason(), &error);
             if let Ok(id) = name.parse() {
                 node.discard_runner(&id);
             }
@@ -158,14 +158,14 @@
                 node.directory.lock().insert(peer);
                 retries::take_share(node);
             }
-            Err(error) => node.note_unreadable(&item.key, Part::Node, "form", error),
+            Err(error) => node.report_invalid_item(&item.key, Part::Node, "form", error),
         }
         return;
     }
     if let Some(entry) = suspect_store::read_entry(item) {
         match entry {
             Ok(row) => suspect_store::take(node, &row),
-            Err(error) => node.note_unreadable(&item.key, Part::Suspect, "form", error),
+            Err(error) => node.report_invalid_item(&item.key, Part::Suspect, "form", error),
         }
         return;
     }
@@ -173,13 +173,13 @@
         Ok(Some((domain, document))) => {
             let mut plans = node.plans.lock();
             plans.insert(domain, document);
-            node.halts.lock().update(&plans, node.now());
+            node.stalls.lock().update(&plans, node.now());
             drop(plans);
             node.plans_changed.send_modify(|version| *version += 1);
         }
-        Ok(None) => node.note_unreadable(&item.key, Part::Foreign, "key", "of no kind that is known"),
+        Ok(None) => node.report_invalid_item(&item.key, Part::Foreign, "key", "of no kind that is known"),
         // The groups that were known go on; the deciding node leaves the domain alone.
-        Err(error) => node.note_unreadable(&item.key, Part::Plan, "form", error),
+        Err(error) => node.report_invalid_item(&item.key, Part::Plan, "form", error),
     }
 }
 
--- a/crates/node/src/news.rs
+++ b/crates/node/src/news.rs
@@ -81,7 +81,7 @@
 
 /// What the runners of each hall say of themselves.
 pub(crate) fn measure(node: &Node) -> BTreeMap<id::Hall, Pressure> {
-    let (roster, said, now) = (node.roster.lock(), node.said.lock(), node.now());
+    let (roster, said, now) = (node.roster.lock(), node.feedback.lock(), node.now());
     let mut halls: BTreeMap<id::Hall, Pressure> = BTreeMap::new();
     for runner in roster.iter() {
         let pressure = halls.entry(runner.hall.clone()).or_default();
--- a/crates/node/src/peer.rs
+++ b/crates/node/src/peer.rs
@@ -229,7 +229,7 @@
         Ok(news) => news,
         Err(error) => return fail_encoding(&error),
     };
-    let Some(((news, age), silence)) = news.zip(age).zip(node.silence()) else {
+    let Some(((news, age), silence)) = news.zip(age).zip(node.staleness()) else {
         return reply(StatusCode::SERVICE_UNAVAILABLE, Bytes::new());
     };
     reply_encoded(&Told {
@@ -261,7 +261,7 @@
     let Some(after) = question.after else { return };
     let least = node.now() + RENEWED;
     let mut position = node.feed.subscribe();
-    let mut contact = node.contact.subscribe();
+    let mut contact = node.last_contact.subscribe();
     let newer = position.wait_for(|position| position.is_some_and(|position| position > after));
     let renewed = contact.wait_for(|contact| contact.is_some_and(|contact| contact > least));
     let either = async {
--- a/crates/node/src/prober.rs
+++ b/crates/node/src/prober.rs
@@ -60,7 +60,7 @@
                 "decider: no answer from {}",
                 fresh.iter().map(id::Runner::as_str).collect::<Vec<_>>().join(" ")
             );
-            node.changed.notify_one();
+            node.fleet_changed.notify_one();
         }
         tokio::time::sleep(PROBE_PAUSE.duration()).await;
     }
--- a/crates/node/src/request.rs
+++ b/crates/node/src/request.rs
@@ -76,7 +76,7 @@
 }
 
 async fn run(node: &Arc<Node>, job: Arc<Job>, running: Running) -> Result<Answer, Refusal> {
-    node.retries.lock().deposit();
+    node.retry_budget.lock().deposit();
     if suspects::is_deadly(node, &job) {
         return Err(Refusal::Deadly);
     }
@@ -132,7 +132,7 @@
 /// What a refusal for want of a route or a key becomes where a newer configuration may
 /// have it: the caller may come back, and others may know.
 fn verify(node: &Node, refusal: Refusal) -> Refusal {
-    if node.knows_catalog() { refusal } else { Refusal::Unsure }
+    if node.has_current_catalog() { refusal } else { Refusal::Unsure }
 }
 
 fn find_route(catalog: &Catalog, head: &Parts) -> Result<Arc<Route>, Refusal> {
--- a/crates/node/src/retries.rs
+++ b/crates/node/src/retries.rs
@@ -37,7 +37,7 @@
 /// Takes this node's share of the retries that the fleet may save up.
 pub(crate) fn take_share(node: &Node) {
     let share = share(node);
-    let mut retries = node.retries.lock();
+    let mut retries = node.retry_budget.lock();
     retries.set_ratio(earned(node) * share.part());
     retries.set_capacity(share.own);
 }
@@ -47,18 +47,18 @@
     let now = node.now();
     let nodes = node.reports.lock().count_nodes(now) + 1;
     let window = node.settings().bounds.retry_window;
-    node.pool.lock().keep(share(node).left * nodes as f64, window, now);
+    node.retry_pool.lock().keep(share(node).left * nodes as f64, window, now);
 }
 
 /// As the collector, takes in that a request of its hall has come.
 pub(crate) fn earn_pooled(node: &Node) {
     let part = earned(node) * (1.0 - share(node).part());
-    node.pool.lock().earn(part);
+    node.retry_pool.lock().earn(part);
 }
 
 /// As the collector, lends a retry.
 pub(crate) fn lend(node: &Node, loan: &Loan) -> bool {
-    let lent = node.pool.lock().lend();
+    let lent = node.retry_pool.lock().lend();
     if !lent {
         log::info!("retries: {} gets none, all of the hall are spent", loan.node);
     }
@@ -68,7 +68,7 @@
 
 /// Pays for sending a request again; false if it is not allowed.
 pub(crate) async fn spend(node: &Arc<Node>, job: &Job) -> bool {
-    if node.retries.lock().withdraw() {
+    if node.retry_budget.lock().withdraw() {
         return true;
     }
     let Some(collector) = find_asked(node) else { return refuse(job, "nobody lends one") };
--- a/crates/node/src/state.rs
+++ b/crates/node/src/state.rs
@@ -47,7 +47,7 @@
 
 /// The node that holds the lease for deciding.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Holder {
+pub struct DeciderLease {
     /// Where the lease's key was last written.
     pub position: Position,
     /// Whether the key goes with a lease. One that does not is no deciding node's: each
@@ -70,7 +70,7 @@
     /// What is proven of the configuration's age.
     pub freshness: Mutex<Freshness>,
     /// Up to when this node surely knows all that the store held, as far as it can tell.
-    pub contact: watch::Sender<Option<Millis>>,
+    pub last_contact: watch::Sender<Option<Millis>>,
     /// What the store holds, for other nodes.
     pub feed: Feed,
     /// The nodes.
@@ -84,45 +84,45 @@
     /// The plans of the groups, as the store tells.
     pub plans: Mutex<Plans>,
     /// Since when groups stand still, as far as this node has read it.
-    pub halts: Mutex<Stalls>,
+    pub stalls: Mutex<Stalls>,
     /// Rises whenever a plan changes.
     pub plans_changed: watch::Sender<u64>,
     /// Items that could not be read, as far as the log tells of them.
-    pub(crate) unreadable: Mutex<Unreadable>,
+    pub(crate) invalid_items: Mutex<Unreadable>,
     /// What was seen of the runners.
     pub ledger: Mutex<Ledger>,
     /// What runners have said of themselves.
-    pub(crate) said: Mutex<Said>,
+    pub(crate) feedback: Mutex<Said>,
     /// Runners that turn requests away, as nodes tell each other.
     pub(crate) refusals: Mutex<refusals::Table>,
     /// As the collector of its hall, what the hall may send to runners that name a rate.
-    pub(crate) rations: Mutex<Rations>,
+    pub(crate) allocations: Mutex<Rations>,
     /// As the collector, when callers that found no place with them come back.
-    pub(crate) returns: Mutex<Returns>,
+    pub(crate) retry_schedule: Mutex<Returns>,
     /// What this node may send them while no collector answers.
-    pub(crate) alone: Mutex<Alone>,
+    pub(crate) fallback_limits: Mutex<Alone>,
     /// What the others have in flight, as this node was last told.
-    pub view: Mutex<View>,
+    pub fleet_load: Mutex<View>,
     /// As the collector of its hall, chooses groups for requests.
     pub dispatcher: Mutex<Dispatcher>,
     /// First events that the collector was not told of yet.
-    pub(crate) samples: Mutex<Vec<Sample>>,
+    pub(crate) unsent_samples: Mutex<Vec<Sample>>,
     /// Collectors that did not answer when told what is in flight.
-    pub(crate) untold: Mutex<Avoided>,
+    pub(crate) unreachable_for_reports: Mutex<Avoided>,
     /// Collectors that did not answer a question for a group.
-    pub(crate) unanswering: Mutex<Avoided>,
+    pub(crate) unreachable_for_queries: Mutex<Avoided>,
     /// Requests that end runners, as far as this node knows.
     pub suspects: Mutex<Table>,
     /// Up to where other nodes were told of them.
-    pub(crate) book: Mutex<Peers>,
+    pub(crate) gossip_peers: Mutex<Peers>,
     /// How many groups or runners there usually are for requests.
-    pub(crate) usual: Mutex<Baseline>,
+    pub(crate) trial_baseline: Mutex<Baseline>,
     /// Runs of suspected requests that this node has let begin.
     pub(crate) trials: Mutex<Trials>,
     /// Tries that broke off at runners of which nothing could be found out.
-    pub(crate) breaks: Mutex<Interruptions>,
+    pub(crate) interruptions: Mutex<Interruptions>,
     /// Rises whenever the process did not run for a while.
-    pub(crate) woken: watch::Sender<u64>,
+    pub(crate) resumed: watch::Sender<u64>,
     /// Rises whenever a request is found to end runners.
     pub(crate) deadly_found: watch::Sender<u64>,
     /// Tells this process from others of the same node.
@@ -136,17 +136,17 @@
     /// What nodes have told this one that they have in flight.
     pub reports: Mutex<occupancy::Table>,
     /// How many requests may be under way, by service and model.
-    pub limits: Mutex<HashMap<Lane, Limit>>,
+    pub concurrency_limits: Mutex<HashMap<Lane, Limit>>,
     /// Told when a request ended, and another one may begin.
-    pub ended: Notify,
+    pub request_ended: Notify,
     /// Pays for requests that are sent again.
-    pub retries: Mutex<Budget>,
+    pub retry_budget: Mutex<Budget>,
     /// As the collector, the retries that it lends.
-    pub(crate) pool: Mutex<Pool>,
+    pub(crate) retry_pool: Mutex<Pool>,
     /// Who decides, as the store tells, if anyone does.
-    pub decider: watch::Sender<Option<Holder>>,
+    pub decider: watch::Sender<Option<DeciderLease>>,
     /// Told when runners or configuration have changed.
-    pub changed: Notify,
+    pub fleet_changed: Notify,
     /// Whether the node is about to stop.
     pub draining: watch::Sender<bool>,
     /// Whether the node takes no requests any more.
@@ -169,42 +169,42 @@
             entry_gone: Notify::new(),
             clock: System::new(),
             catalog: Mutex::default(),
-            contact: watch::Sender::new(None),
+            last_contact: watch::Sender::new(None),
             freshness: Mutex::default(),
             roster: Mutex::default(),
             plans: Mutex::default(),
-            halts: Mutex::default(),
+            stalls: Mutex::default(),
             plans_changed: watch::Sender::new(0),
-            unreadable: Mutex::default(),
+            invalid_items: Mutex::default(),
             ledger: Mutex::default(),
-            said: Mutex::default(),
+            feedback: Mutex::default(),
             refusals: Mutex::default(),
-            rations: Mutex::default(),
-            returns: Mutex::default(),
-            alone: Mutex::default(),
-            view: Mutex::default(),
+            allocations: Mutex::default(),
+            retry_schedule: Mutex::default(),
+            fallback_limits: Mutex::default(),
+            fleet_load: Mutex::default(),
             reports: Mutex::default(),
             dispatcher: Mutex::default(),
-            samples: Mutex::default(),
-            untold: Mutex::default(),
-            unanswering: Mutex::default(),
+            unsent_samples: Mutex::default(),
+            unreachable_for_reports: Mutex::default(),
+            unreachable_for_queries: Mutex::default(),
             suspects: Mutex::default(),
-            book: Mutex::default(),
-            usual: Mutex::default(),
+            gossip_peers: Mutex::default(),
+            trial_baseline: Mutex::default(),
             trials: Mutex::default(),
-            breaks: Mutex::default(),
-            woken: watch::Sender::new(0),
+            interruptions: Mutex::default(),
+            resumed: watch::Sender::new(0),
             deadly_found: watch::Sender::new(0),
             instance: rand::rng().random(),
             findings: Mutex::default(),
             client: Client::new(Traffic::default()),
             flight_ended: Notify::new(),
-            limits: Mutex::default(),
-            ended: Notify::new(),
-            retries: Mutex::new(Budget::new(0.0, 0.0)),
-            pool: Mutex::default(),
+            concurrency_limits: Mutex::default(),
+            request_ended: Notify::new(),
+            retry_budget: Mutex::new(Budget::new(0.0, 0.0)),
+            retry_pool: Mutex::default(),
             decider: watch::Sender::new(None),
-            changed: Notify::new(),
+            fleet_changed: Notify::new(),
             draining: watch::Sender::new(false),
             closed: watch::Sender::new(false),
             synced: watch::Sender::new(false),
@@ -233,7 +233,7 @@
     /// Waits for a point in time. A timer alone would be late by as long as the box was
     /// suspended.
     pub async fn wait_until(&self, end: Millis) {
-        let mut woken = self.woken.subscribe();
+        let mut woken = self.resumed.subscribe();
         loop {
             let left = end.since(self.now());
             if left == Millis(0) {
@@ -285,13 +285,13 @@
     }
 
     /// Takes a runner's entry in, and notices a new life of it.
-    pub fn put_runner(&self, runner: Runner) {
+    pub fn insert_runner(&self, runner: Runner) {
         let (id, life) = (runner.id.clone(), runner.incarnation);
-        let ended = self.breaks.lock().take_replaced(&id, runner.address, self.now());
+        let ended = self.interruptions.lock().take_replaced(&id, runner.address, self.now());
         suspects::take(self, &ended, Origin::Hall);
         let notice = self.roster.lock().insert(runner);
         match (notice, life) {
-            (Update::Restarted, Some(life)) => self.notice_restart(&id, life),
+            (Update::Restarted, Some(life)) => self.handle_restart(&id, life),
             (Update::Outdated, Some(life)) => {
                 log::info!(
                     "roster: an entry of {id} in life {life} is older than what is known and is passed over"
@@ -309,9 +309,9 @@
     }
 
     /// An item of the store cannot be read.
-    pub(crate) fn note_unreadable(&self, key: &str, part: Part, reason: &'static str, why: impl Display) {
+    pub(crate) fn report_invalid_item(&self, key: &str, part: Part, reason: &'static str, why: impl Display) {
         telemetry::count_unreadable(part.name(), reason);
-        if self.unreadable.lock().tells(key, self.now()) {
+        if self.invalid_items.lock().tells(key, self.now()) {
             log::error!("store: `{key}` ({}) is not used: {why}", part.name());
         }
     }
@@ -319,8 +319,8 @@
     /// A runner has said in which life it is.
     pub fn record_incarnation(&self, id: &id::Runner, life: Incarnation) {
         if self.roster.lock().record_incarnation(id, life) {
-            self.notice_restart(id, life);
-            self.changed.notify_one();
+            self.handle_restart(id, life);
+            self.fleet_changed.notify_one();
         }
     }
 
@@ -329,22 +329,22 @@
         if self.roster.lock().record_leaving(id, life) {
             log::info!("roster: {id} says that it is about to leave");
             metrics::counter!("cottoncrank_runners_leaving_total").increment(1);
-            self.changed.notify_one();
+            self.fleet_changed.notify_one();
         }
     }
 
     /// Forgets what was seen of a runner's former life.
-    fn notice_restart(&self, id: &id::Runner, life: Incarnation) {
+    fn handle_restart(&self, id: &id::Runner, life: Incarnation) {
         log::info!("roster: {id} has started again, its life is now {life}");
         metrics::counter!("cottoncrank_runners_restarted_total").increment(1);
         self.ledger.lock().restart(id);
-        let ended = self.breaks.lock().take_earlier(id, life, self.now());
+        let ended = self.interruptions.lock().take_earlier(id, life, self.now());
         suspects::take(self, &ended, Origin::Hall);
     }
 
     /// This node knew all that the store held at `at`.
-    pub fn note_contact(&self, at: Millis) {
-        self.contact.send_if_modified(|contact| {
+    pub fn record_contact(&self, at: Millis) {
+        self.last_contact.send_if_modified(|contact| {
             let renewed = Some(at) > *contact;
             *contact = (*contact).max(Some(at));
             renewed
@@ -352,15 +352,15 @@
     }
 
     /// For how long this node may have missed changes of the store.
-    pub fn silence(&self) -> Option<Millis> {
-        self.contact.borrow().map(|contact| self.now().since(contact))
+    pub fn staleness(&self) -> Option<Millis> {
+        self.last_contact.borrow().map(|contact| self.now().since(contact))
     }
 
     /// Whether the configuration held here is surely one that may be in force. A node that
     /// may have missed changes for longer cannot say that there is no such route or key: it
     /// refused routes with 404 that had been accepted 3.7 s before. Contact does not tell:
     /// what arrives may have been under way for a second, and a watch deaf for another.
-    pub fn knows_catalog(&self) -> bool {
+    pub fn has_current_catalog(&self) -> bool {
         let bound = self.settings().bounds.apply;
         self.freshness.lock().allows(self.now(), Some(bound))
     }
@@ -380,7 +380,7 @@
     /// The requests of all nodes in flight at each group, if enough of them tell.
     pub fn sum_all_in_flight(&self) -> Option<Counts> {
         let mut own = self.sum_in_flight().counts;
-        let view = self.view.lock();
+        let view = self.fleet_load.lock();
         if !view.is_usable(self.now()) {
             return None;
         }
@@ -394,16 +394,16 @@
     /// want no requests from it: each node of a hall would else have to be turned away once.
     pub fn list_doubted(&self) -> Vec<Epoch> {
         let (roster, ledger) = (self.roster.lock(), self.ledger.lock());
-        let said = self.said.lock();
+        let said = self.feedback.lock();
         let doubted = ledger.list_doubted(self.now()).chain(said.backoffs.list(self.now()));
         let epochs: BTreeSet<Epoch> = doubted.filter_map(|id| find_epoch(&roster, id)).collect();
         epochs.into_iter().collect()
     }
 
     /// The groups whose heads want no requests from this node.
-    pub(crate) fn list_unwilling(&self) -> Vec<Epoch> {
+    pub(crate) fn list_backing_off(&self) -> Vec<Epoch> {
         let (roster, ledger) = (self.roster.lock(), self.ledger.lock());
-        let said = self.said.lock();
+        let said = self.feedback.lock();
         let unwilling = said.backoffs.list(self.now()).chain(ledger.list_refusing(self.now()));
         unwilling.filter_map(|id| find_epoch(&roster, id)).collect()
     }
--- a/crates/node/src/suspect_store.rs
+++ b/crates/node/src/suspect_store.rs
@@ -128,7 +128,7 @@
 /// hall. One that reaches no other node of the hall is its own.
 fn find_turn(node: &Node) -> Option<Millis> {
     let settings = node.settings();
-    let collector = find_collector(node, &settings.hall, &node.untold.lock());
+    let collector = find_collector(node, &settings.hall, &node.unreachable_for_reports.lock());
     collector.is_none_or(|collector| collector.node == settings.node).then(|| {
         let directory = node.directory.lock();
         let before = directory.list_halls().into_iter().position(|hall| *hall == settings.hall);
--- a/crates/node/src/suspects.rs
+++ b/crates/node/src/suspects.rs
@@ -47,10 +47,10 @@
     question: Q,
     wait: Millis,
 ) -> Result<A, CallError> {
-    let (push, upto) = node.book.lock().build_push(&node.suspects.lock(), &peer.node);
+    let (push, upto) = node.gossip_peers.lock().build_push(&node.suspects.lock(), &peer.node);
     let letter = Letter { question, push };
     let reply: Reply<A> = client.call(peer.address, path, &letter, wait).await?;
-    node.book.lock().record_pull(&peer.node, upto, reply.pull.mark);
+    node.gossip_peers.lock().record_pull(&peer.node, upto, reply.pull.mark);
     take(node, &reply.pull.rows, Origin::Elsewhere);
     Ok(reply.answer)
 }
--- a/crates/node/src/suspension.rs
+++ b/crates/node/src/suspension.rs
@@ -31,11 +31,11 @@
 /// The process runs again. What is known is as old as the clock says, which counts the gap:
 /// nothing has to be thrown away.
 fn wake(node: &Node, gap: Suspension) {
-    let silence = node.silence().map_or("unknown".to_owned(), |silence| silence.to_string());
+    let silence = node.staleness().map_or("unknown".to_owned(), |silence| silence.to_string());
     log::warn!(
         "node: this process was {gap}; changes of the store may be missed for {silence}, {} requests under way",
         node.running()
     );
     telemetry::count_gap(&gap);
-    node.woken.send_modify(|times| *times += 1);
+    node.resumed.send_modify(|times| *times += 1);
 }
--- a/crates/node/src/sync.rs
+++ b/crates/node/src/sync.rs
@@ -371,7 +371,7 @@
             node.ledger.lock().forget(id);
         }
         if !gone.is_empty() {
-            node.changed.notify_one();
+            node.fleet_changed.notify_one();
         }
     }
 }
--- a/crates/node/src/telemetry.rs
+++ b/crates/node/src/telemetry.rs
@@ -169,7 +169,7 @@
         metrics::gauge!("cottoncrank_config_version").set(version as f64);
         let groups = node.plans.lock().values().map(|plan| plan.groups.len()).sum::<usize>();
         metrics::gauge!("cottoncrank_groups_planned").set(groups as f64);
-        for ((_, model), limit) in node.limits.lock().iter() {
+        for ((_, model), limit) in node.concurrency_limits.lock().iter() {
             let model = model.as_ref().map_or(String::new(), ToString::to_string);
             metrics::gauge!("cottoncrank_limit", "model" => model).set(limit.level());
         }
--- a/crates/node/src/throttle.rs
+++ b/crates/node/src/throttle.rs
@@ -76,7 +76,7 @@
 
 fn put(node: &Node, claim: Claim, how: &str) {
     let runner = claim.runner.clone();
-    let change = node.said.lock().throttles.put(claim);
+    let change = node.feedback.lock().throttles.put(claim);
     match change {
         Change::None => {}
         Change::Named(rate) => {
@@ -96,16 +96,16 @@
 /// Forgets runners that are gone.
 pub(crate) fn forget(node: &Node) {
     let roster = node.roster.lock();
-    let throttles = &mut node.said.lock().throttles;
+    let throttles = &mut node.feedback.lock().throttles;
     throttles.retain(|id| roster.get_last_known(id).is_some());
-    node.rations.lock().retain(|id| throttles.find(id, None).is_some());
+    node.allocations.lock().retain(|id| throttles.find(id, None).is_some());
 }
 
 /// What this node tells a collector of what runners said of their rates: to it lately, or to any
 /// of its hall.
 pub(crate) fn list_claims(node: &Node, scope: Scope) -> Vec<Told> {
     let now = node.now();
-    let throttles = &node.said.lock().throttles;
+    let throttles = &node.feedback.lock().throttles;
     let told = throttles.iter().filter(|claim| scope == Scope::Hall || now < claim.heard + RECENT);
     told.map(|claim| claim.tell(now)).collect()
 }
@@ -113,14 +113,14 @@
 /// The same, of plain runners alone: what a node of this hall has to know, for those it chooses
 /// by itself.
 pub(crate) fn list_plain_claims(node: &Node) -> Vec<Told> {
-    let (roster, said, now) = (node.roster.lock(), node.said.lock(), node.now());
+    let (roster, said, now) = (node.roster.lock(), node.feedback.lock(), node.now());
     let is_plain = |id: &id::Runner| roster.get_last_known(id).is_some_and(|runner| runner.domain.is_none());
     said.throttles.iter().filter(|claim| is_plain(&claim.runner)).map(|claim| claim.tell(now)).collect()
 }
 
 /// What this hall wants of runners that name a rate.
 pub(crate) fn list_wants(node: &Node, scope: Scope) -> Vec<Want> {
-    if scope == Scope::Node { Vec::new() } else { node.rations.lock().list_wants(node.now()) }
+    if scope == Scope::Node { Vec::new() } else { node.allocations.lock().list_wants(node.now()) }
 }
 
 /// What each of these runners takes from this hall, by the rate that it names.
@@ -130,7 +130,7 @@
     let others = directory.list_halls().into_iter().filter(|other| *other != hall);
     let others = others.map(|hall| Neighbor { hall, silent: !reports.hears(hall, now) }).collect();
     let halls = Halls { own: hall, others };
-    let mut rations = node.rations.lock();
+    let mut rations = node.allocations.lock();
     runners.iter().map(|(runner, rate)| rations.look(runner, *rate, &halls, now)).collect()
 }
 
@@ -152,7 +152,7 @@
 /// As the collector, the groups whose heads name a rate.
 pub(crate) fn list_limited(node: &Node, heads: &[&Runner], now: Millis) -> Limited {
     let (epochs, runners): (Vec<Epoch>, Vec<(id::Runner, Rate)>) = {
-        let throttles = &node.said.lock().throttles;
+        let throttles = &node.feedback.lock().throttles;
         let limited = heads.iter().filter_map(|head| {
             let rate = throttles.find(&head.id, head.incarnation)?;
             Some((head.membership.as_ref()?.epoch, (head.id.clone(), rate)))
@@ -178,19 +178,19 @@
     let outlook = limited.outlook?;
     let caller =
         Caller { service: &question.service, model: Some(&question.model), patience: question.patience };
-    Some(node.returns.lock().plan(&caller, outlook, now))
+    Some(node.retry_schedule.lock().plan(&caller, outlook, now))
 }
 
 /// As the collector, counts a choice at the head that it fell on, and at the one that would be
 /// best but for its rate.
 pub(crate) fn note_choice(node: &Node, heads: &[&Runner], reply: Reply, best: Option<Epoch>, now: Millis) {
-    let throttles = &node.said.lock().throttles;
+    let throttles = &node.feedback.lock().throttles;
     let find = |epoch: Epoch| {
         let is_meant = |head: &&&Runner| head.membership.as_ref().is_some_and(|place| place.epoch == epoch);
         let head = heads.iter().find(is_meant)?;
         throttles.find(&head.id, head.incarnation).map(|_| &head.id)
     };
-    let mut rations = node.rations.lock();
+    let mut rations = node.allocations.lock();
     if let Some(best) = best.and_then(find) {
         rations.want(best, now);
     }
@@ -206,7 +206,7 @@
     take_claims(node, &plea.claims);
     let now = node.now();
     let runners: Vec<(id::Runner, Rate)> = {
-        let throttles = &node.said.lock().throttles;
+        let throttles = &node.feedback.lock().throttles;
         let limited = plea
             .claims
             .iter()
@@ -214,11 +214,11 @@
         limited.collect()
     };
     if runners.is_empty() {
-        let (said, known) = (node.said.lock(), |claim: &&Claim| plea.names(&claim.runner));
+        let (said, known) = (node.feedback.lock(), |claim: &&Claim| plea.names(&claim.runner));
         return Place::Free(said.throttles.iter().filter(known).map(|claim| claim.tell(now)).collect());
     }
     let outlooks = look(node, &runners, now);
-    let mut rations = node.rations.lock();
+    let mut rations = node.allocations.lock();
     for (runner, _) in &runners {
         rations.want(runner, now);
     }
@@ -230,7 +230,7 @@
     let wait = sum_up(&outlooks).map(|all| match plea.refused {
         true => {
             let caller = Caller { service: &plea.service, model: None, patience: plea.patience };
-            node.returns.lock().plan(&caller, all, now)
+            node.retry_schedule.lock().plan(&caller, all, now)
         }
         // Nobody comes back for it: its request goes to another runner.
         false => all.wait,
@@ -246,7 +246,7 @@
         return None;
     }
     let claims = {
-        let (said, now) = (node.said.lock(), node.now());
+        let (said, now) = (node.feedback.lock(), node.now());
         let asked = |claim: &&Claim| runners.iter().any(|(id, _)| *id == claim.runner);
         said.throttles.iter().filter(asked).map(|claim| claim.tell(now)).collect()
     };
@@ -270,7 +270,7 @@
 pub(crate) fn take_alone(node: &Node, job: &Job, tried: &[id::Runner]) -> Option<id::Runner> {
     let runners = list_throttled(node, job, tried);
     let (nodes, now) = (node.directory.lock().count(), node.now());
-    let mut alone = node.alone.lock();
+    let mut alone = node.fallback_limits.lock();
     let taken = runners.into_iter().find(|(id, rate)| alone.take(id, *rate, nodes, now, &mut rand::rng()));
     taken.map(|(id, _)| id)
 }
--- a/crates/node/tests/failed.rs
+++ b/crates/node/tests/failed.rs
@@ -40,7 +40,10 @@
             fleet.nodes.iter().all(|running| running.node.directory.lock().count() == 3)
         })
         .await;
-    assert!(fleet.nodes.iter().all(|running| !running.node.retries.lock().withdraw()), "none has its own");
+    assert!(
+        fleet.nodes.iter().all(|running| !running.node.retry_budget.lock().withdraw()),
+        "none has its own"
+    );
     let callers = fleet.nodes[0].callers;
     for turn in 0..1000 {
         let request = format!("r-{turn}");
--- a/crates/node/tests/fleet.rs
+++ b/crates/node/tests/fleet.rs
@@ -94,7 +94,7 @@
             version += 1;
             fleet.store.configure_and_forget(&config(version, &["key-1"]));
             fleet.wait("the change is in force on all", |fleet| knows(fleet, version)).await;
-            assert!(fleet.nodes.iter().all(|running| running.node.knows_catalog()));
+            assert!(fleet.nodes.iter().all(|running| running.node.has_current_catalog()));
             door.set_closed(Closed::Not);
         }
     }
@@ -117,11 +117,11 @@
 async fn a_node_without_a_fresh_proof_does_not_say_that_there_is_no_such_route() {
     let fleet = Fleet::serving(1).await;
     let node = &fleet.nodes[0].node;
-    assert!(node.knows_catalog());
+    assert!(node.has_current_catalog());
     fleet.store.set_fault(store::Fault::Silent);
     *node.freshness.lock() = Freshness::default();
-    node.note_contact(node.now());
-    assert!(!node.knows_catalog());
+    node.record_contact(node.now());
+    assert!(!node.has_current_catalog());
     let answer = fleet.ask("/nowhere/", "r1").await;
     assert_eq!((answer.status, fleet.runs("r1")), (503, 0));
 }
@@ -135,7 +135,7 @@
         })
         .await;
     let spend = |running: &common::Running| {
-        let mut retries = running.node.retries.lock();
+        let mut retries = running.node.retry_budget.lock();
         (0..1000).filter(|_| retries.withdraw()).count()
     };
     let spent: usize = fleet.nodes.iter().map(spend).sum();
@@ -152,7 +152,7 @@
     let held: Vec<_> = fleet.nodes.iter().map(|running| running.node.begin_attempt(&head)).collect();
     // Each node has one request of its own, and sees those of the two others.
     let count_others = |running: &common::Running| {
-        let view = running.node.view.lock();
+        let view = running.node.fleet_load.lock();
         let epochs = running.node.roster.lock();
         let open = epochs.iter().filter_map(|runner| runner.membership.as_ref());
         open.filter(|place| place.rank == 0).map(|place| view.count(place.epoch)).sum::<u32>()
--- a/crates/node/tests/requests.rs
+++ b/crates/node/tests/requests.rs
@@ -245,7 +245,7 @@
         let (name, hall) = (name.parse().unwrap(), "hall-a".parse().unwrap());
         node.directory.lock().insert(Peer { node: name, hall, address, processor: Millicores(1000) });
     }
-    fleet.wait("the view covers one node of three", |_| !node.view.lock().is_usable(node.now())).await;
+    fleet.wait("the view covers one node of three", |_| !node.fleet_load.lock().is_usable(node.now())).await;
     refused("r2").await;
     drop(held);
     assert_eq!(fleet.ask(STREAM, "r3").await.status, 200);
@@ -263,11 +263,11 @@
         roster.get(&id).is_some_and(|runner| runner.address == nowhere)
     };
     fleet.wait("the node knows the new address", moved).await;
-    while node.retries.lock().withdraw() {}
+    while node.retry_budget.lock().withdraw() {}
     // One of the two meets it, for each goes to a head without a request of this node.
     let (one, other) = tokio::join!(fleet.ask(STREAM, "r1"), fleet.ask(STREAM, "r2"));
     assert_eq!((one.status, other.status), (200, 200));
-    assert!(!node.retries.lock().withdraw(), "nothing was saved up meanwhile");
+    assert!(!node.retry_budget.lock().withdraw(), "nothing was saved up meanwhile");
 }
 
 #[tokio::test]
