--- a/crates/node/src/decider.rs
+++ b/crates/node/src/decider.rs
@@ -355,7 +355,7 @@
                 };
                 (step(&scene, &mut self.memory.lock()), census::count(&scene, engine))
             };
-            telemetry::record_look(self.node.now().since(begun));
+            telemetry::record_planning_time(self.node.now().since(begun));
             self.log_census(&service.id, census);
             self.log_parts(service);
             self.carry_out(step).await?;
--- a/crates/node/src/era.rs
+++ b/crates/node/src/era.rs
@@ -50,7 +50,7 @@
     }
     let kind = if is_catalog(&held) { "catalog" } else { "plan" };
     log::info!("sync: `{}` of {} is kept, the store has an older one", held.key, held.position);
-    telemetry::count_carried(kind);
+    telemetry::count_carried_item(kind);
     match place {
         Some(place) => batch.items[place] = held,
         None => batch.items.push(held),
--- a/crates/node/src/intake.rs
+++ b/crates/node/src/intake.rs
@@ -91,7 +91,7 @@
     log::info!("store: read whole at revision {position}, {} runners", runners.len());
     // What a copy lacks was not removed by operators.
     if !back {
-        suspect_store::retain(node, &suspects);
+        suspect_store::retain_entries(node, &suspects);
         node.directory.lock().retain(|name| nodes.contains(name));
         retries::take_share(node);
     }
@@ -164,7 +164,7 @@
     }
     if let Some(entry) = suspect_store::read_entry(item) {
         match entry {
-            Ok(row) => suspect_store::take(node, &row),
+            Ok(row) => suspect_store::apply_entry(node, &row),
             Err(error) => node.report_invalid_item(&item.key, Part::Suspect, "form", error),
         }
         return;
@@ -192,7 +192,7 @@
         }
         node.directory.lock().remove(&name);
         retries::take_share(node);
-    } else if !suspect_store::take_gone(node, key) {
+    } else if !suspect_store::apply_removal(node, key) {
         log::warn!("store: `{key}` was removed");
     }
 }
--- a/crates/node/src/peer.rs
+++ b/crates/node/src/peer.rs
@@ -179,7 +179,7 @@
     let asked = bytes.len();
     let answer = answer_read(node, &path, bytes).await;
     let answered = answer.body().size_hint().exact().unwrap_or(0) as usize;
-    telemetry::count_question(find_kind(&path), asked, answered);
+    telemetry::count_query(find_kind(&path), asked, answered);
     answer
 }
 
--- a/crates/node/src/program.rs
+++ b/crates/node/src/program.rs
@@ -15,8 +15,8 @@
 use crate::state::Node;
 use crate::{log, telemetry};
 
-/// How often the settings are looked at without being told.
-const REREAD: Millis = Millis(10_000);
+/// How often the settings are looked at without being signaled.
+const REREAD_INTERVAL: Millis = Millis(10_000);
 
 /// Why the program did not start.
 #[derive(Debug, Error)]
@@ -29,9 +29,9 @@
     Start(#[from] StartError),
 }
 
-/// Runs a node until it is told to stop, with `beside` under way beside it. With `check` it
+/// Runs a node until it is signaled to stop, with `background` under way background it. With `check` it
 /// only says whether the settings can be used.
-pub fn run(check: bool, beside: impl Future<Output = ()> + Send + 'static) -> Result<(), ProgramError> {
+pub fn run(check: bool, background: impl Future<Output = ()> + Send + 'static) -> Result<(), ProgramError> {
     let log = log::start("info").map_err(StartError::from)?;
     let settings = settings::read()?;
     if check {
@@ -41,7 +41,7 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(StartError::from)?;
     let served = runtime.block_on(async {
-        tokio::spawn(beside);
+        tokio::spawn(background);
         serve(Node::new(settings)).await
     });
     // Lines that cannot be written in time are lost, as at any other time.
@@ -56,19 +56,21 @@
     let reload = signal(SignalKind::hangup())?;
     tokio::spawn(reread_settings(node.clone(), reload));
     let _tasks = start(&node, listeners);
-    show_figures(&node).await;
+    serve_metrics(&node).await;
     wait_for_stop().await?;
     drain(&node).await;
     Ok(())
 }
 
 /// Shows the figures. A node without them serves all the same.
-async fn show_figures(node: &Arc<Node>) {
+async fn serve_metrics(node: &Arc<Node>) {
     let address = SocketAddr::new(node.settings().peers.ip(), telemetry::PORT);
-    let (Some(handle), listener) = (telemetry::install(), TcpListener::bind(address).await) else { return };
+    let (Some(handle), listener) = (telemetry::install_recorder(), TcpListener::bind(address).await) else {
+        return;
+    };
     match listener {
         Ok(listener) => {
-            tokio::spawn(telemetry::sample(node.clone()));
+            tokio::spawn(telemetry::sample_gauges(node.clone()));
             tokio::spawn(telemetry::serve(listener, handle));
         }
         Err(error) => ::log::warn!("figures: not shown, {address}: {error}"),
@@ -79,13 +81,15 @@
 /// without one. Addresses are those of the start until the next start.
 async fn reread_settings(node: Arc<Node>, mut reload: Signal) {
     loop {
-        let told = tokio::time::timeout(REREAD.duration(), reload.recv()).await.is_ok();
+        let signaled = tokio::time::timeout(REREAD_INTERVAL.duration(), reload.recv()).await.is_ok();
         match settings::reread(&node.settings()) {
             Ok(Some(settings)) => {
                 ::log::info!("node: the settings have changed and are in force");
                 node.set_settings(settings);
             }
-            Ok(None) if told => ::log::info!("node: told to read the settings, which have not changed"),
+            Ok(None) if signaled => {
+                ::log::info!("node: signaled to read the settings, which have not changed")
+            }
             Ok(None) => {}
             Err(error) => ::log::error!("node: going on with the settings held: {error}"),
         }
--- a/crates/node/src/relay.rs
+++ b/crates/node/src/relay.rs
@@ -51,7 +51,7 @@
             outcome = self.pass_on() => match outcome {
                 Ok(()) => {}
                 Err(refusal) => {
-                    telemetry::count_cut();
+                    telemetry::count_cut_stream();
                     log::warn!("request {request}: the stream is cut: {refusal}");
                     // A caller that is gone needs no cut.
                     let _ = feed.send(Err(Cut)).await;
@@ -59,7 +59,7 @@
             },
             () = feed.closed() => log::info!("request {request}: the caller left"),
             () = node.wait_until(job.end) => {
-                telemetry::count_cut();
+                telemetry::count_cut_stream();
                 log::warn!("request {request}: the stream is cut: its time is over");
                 let _ = feed.try_send(Err(Cut));
             }
--- a/crates/node/src/request.rs
+++ b/crates/node/src/request.rs
@@ -55,7 +55,7 @@
     telemetry::count_request(kind, outcome.as_ref().err().map_or("answered", Refusal::reason));
     match outcome {
         Ok(answer) => {
-            telemetry::record_first(kind, waited);
+            telemetry::record_first_event(kind, waited);
             answer
         }
         Err(refusal) => {
--- a/crates/node/src/retries.rs
+++ b/crates/node/src/retries.rs
@@ -62,7 +62,7 @@
     if !lent {
         log::info!("retries: {} gets none, all of the hall are spent", loan.node);
     }
-    telemetry::count_loan(lent);
+    telemetry::count_retry_grant(lent);
     lent
 }
 
--- a/crates/node/src/start.rs
+++ b/crates/node/src/start.rs
@@ -12,10 +12,10 @@
 use crate::{collect, decider, front, member, peer, presence, suspect_store, suspension, sync};
 
 /// Kept of the time between the order to stop and the kill.
-const GRACE_MARGIN: Millis = Millis(700);
+const STOP_MARGIN: Millis = Millis(700);
 
 /// How often a node that is about to stop looks whether its requests are answered.
-const LOOK: Millis = Millis(50);
+const POLL_INTERVAL: Millis = Millis(50);
 
 /// The ports of a node.
 pub struct Listeners {
@@ -59,13 +59,13 @@
 /// until those there are have their answers, as far as the time allows. What
 /// would be taken later might not be finished before the kill.
 pub async fn drain(node: &Node) {
-    let end = node.now() + (node.settings().bounds.grace - GRACE_MARGIN);
+    let end = node.now() + (node.settings().bounds.grace - STOP_MARGIN);
     log::info!("node: told to stop, {} requests under way", node.running());
     node.draining.send_replace(true);
     tokio::time::sleep(front::NOTICE.duration()).await;
     node.closed.send_replace(true);
     while node.running() > 0 && node.now() < end {
-        tokio::time::sleep(LOOK.duration()).await;
+        tokio::time::sleep(POLL_INTERVAL.duration()).await;
     }
     log::info!("node: stops, {} requests under way", node.running());
 }
--- a/crates/node/src/state.rs
+++ b/crates/node/src/state.rs
@@ -310,7 +310,7 @@
 
     /// An item of the store cannot be read.
     pub(crate) fn report_invalid_item(&self, key: &str, part: Part, reason: &'static str, why: impl Display) {
-        telemetry::count_unreadable(part.name(), reason);
+        telemetry::count_invalid_item(part.name(), reason);
         if self.invalid_items.lock().tells(key, self.now()) {
             log::error!("store: `{key}` ({}) is not used: {why}", part.name());
         }
--- a/crates/node/src/suspect_store.rs
+++ b/crates/node/src/suspect_store.rs
@@ -20,17 +20,17 @@
 const PREFIX: &str = "suspects/";
 
 /// How often a node looks what the store lacks.
-const LOOK: Millis = Millis(200);
+const SCAN_INTERVAL: Millis = Millis(200);
 
 /// The collectors write one after the other, so that most find it written: a write is
 /// known to the others within some 0.3 s.
-const TURN: Millis = Millis(300);
+const WRITE_STAGGER: Millis = Millis(300);
 
 /// The pause after a call that failed.
-const PAUSE: Millis = Millis(1000);
+const RETRY_PAUSE: Millis = Millis(1000);
 
 /// Entries in one write, under the store's limit for one.
-const WRITES_MAX: usize = 30;
+const MAX_WRITES: usize = 30;
 
 /// An entry that cannot be read.
 #[derive(Debug, Error)]
@@ -47,13 +47,13 @@
 }
 
 /// The request whose entry has this key, if it is one's.
-fn read_key(key: &str) -> Option<Result<Fingerprint, FingerprintError>> {
+fn parse_key(key: &str) -> Option<Result<Fingerprint, FingerprintError>> {
     key.strip_prefix(PREFIX).map(str::parse)
 }
 
 /// Reads an entry, if the item is one.
 pub(crate) fn read_entry(item: &Item) -> Option<Result<Row, EntryError>> {
-    let key = read_key(&item.key)?;
+    let key = parse_key(&item.key)?;
     Some(key.map_err(EntryError::from).and_then(|fingerprint| {
         let row: Row = rmp_serde::from_slice(&item.value)?;
         match row.fingerprint == fingerprint {
@@ -64,15 +64,15 @@
 }
 
 /// The store holds this.
-pub(crate) fn take(node: &Node, row: &Row) {
+pub(crate) fn apply_entry(node: &Node, row: &Row) {
     suspects::take(node, std::slice::from_ref(row), Origin::Elsewhere);
     node.suspects.lock().record_stored(row);
 }
 
 /// A key is gone. Returns whether it was an entry's. Nodes remove only what counts for
 /// nothing any more: anything else was removed by operators, to have the request run again.
-pub(crate) fn take_gone(node: &Node, key: &str) -> bool {
-    let Some(Ok(fingerprint)) = read_key(key) else { return false };
+pub(crate) fn apply_removal(node: &Node, key: &str) -> bool {
+    let Some(Ok(fingerprint)) = parse_key(key) else { return false };
     if node.suspects.lock().record_removed(&fingerprint) {
         suspects::lift(node, &fingerprint, "its entry was removed from the store");
     }
@@ -80,70 +80,70 @@
 }
 
 /// The store was read whole, and these are all its entries.
-pub(crate) fn retain(node: &Node, kept: &HashSet<Fingerprint>) {
+pub(crate) fn retain_entries(node: &Node, present: &HashSet<Fingerprint>) {
     let stored = node.suspects.lock().list_stored();
-    for fingerprint in stored.iter().filter(|fingerprint| !kept.contains(fingerprint)) {
-        take_gone(node, &format!("{PREFIX}{fingerprint}"));
+    for fingerprint in stored.iter().filter(|fingerprint| !present.contains(fingerprint)) {
+        apply_removal(node, &format!("{PREFIX}{fingerprint}"));
     }
 }
 
 /// Writes what the store lacks, and removes what it needs no more, until the process ends.
 pub async fn run(node: Arc<Node>) {
     loop {
-        tokio::time::sleep(LOOK.duration()).await;
-        let commit = list_writes(&node);
+        tokio::time::sleep(SCAN_INTERVAL.duration()).await;
+        let commit = build_commit(&node);
         if commit.puts.is_empty() && commit.removes.is_empty() {
             continue;
         }
         match node.store.commit(&commit).await {
-            Ok(Outcome::Done(_)) => note_done(&node, &commit),
+            Ok(Outcome::Done(_)) => record_commit(&node, &commit),
             Ok(Outcome::Conflict) => log::error!("record: a write without a condition met one"),
             Err(error) => {
                 log::info!("record: what is known of suspected requests is not written: {error}");
-                tokio::time::sleep(PAUSE.duration()).await;
+                tokio::time::sleep(RETRY_PAUSE.duration()).await;
             }
         }
     }
 }
 
 /// What this node writes now, if it is a collector and its turn has come.
-fn list_writes(node: &Node) -> Commit {
-    let Some(wait) = find_turn(node) else { return Commit::default() };
+fn build_commit(node: &Node) -> Commit {
+    let Some(wait) = find_write_delay(node) else { return Commit::default() };
     let now = node.now();
     let table = node.suspects.lock();
     let due = table.list_unstored().into_iter().filter(|(_, since)| now >= *since + wait);
     let mut commit = Commit::default();
-    for (row, _) in due.take(WRITES_MAX) {
+    for (row, _) in due.take(MAX_WRITES) {
         match rmp_serde::to_vec(row) {
             Ok(value) => commit.puts.push((format!("{PREFIX}{}", row.fingerprint), value, None)),
             Err(error) => log::error!("record: {} cannot be encoded: {error}", row.fingerprint),
         }
     }
-    let needless = table.list_obsolete().into_iter().take(WRITES_MAX - commit.puts.len());
-    commit.removes.extend(needless.map(|fingerprint| format!("{PREFIX}{fingerprint}")));
+    let obsolete = table.list_obsolete().into_iter().take(MAX_WRITES - commit.puts.len());
+    commit.removes.extend(obsolete.map(|fingerprint| format!("{PREFIX}{fingerprint}")));
     commit
 }
 
 /// How long after it was learned this node writes something, if it is the collector of its
 /// hall. One that reaches no other node of the hall is its own.
-fn find_turn(node: &Node) -> Option<Millis> {
+fn find_write_delay(node: &Node) -> Option<Millis> {
     let settings = node.settings();
     let collector = find_collector(node, &settings.hall, &node.unreachable_for_reports.lock());
     collector.is_none_or(|collector| collector.node == settings.node).then(|| {
         let directory = node.directory.lock();
-        let before = directory.list_halls().into_iter().position(|hall| *hall == settings.hall);
-        Millis(TURN.0 * before.unwrap_or(0) as u64)
+        let rank = directory.list_halls().into_iter().position(|hall| *hall == settings.hall);
+        Millis(WRITE_STAGGER.0 * rank.unwrap_or(0) as u64)
     })
 }
 
-fn note_done(node: &Node, commit: &Commit) {
+fn record_commit(node: &Node, commit: &Commit) {
     let mut table = node.suspects.lock();
     for (_, value, _) in &commit.puts {
         if let Ok(row) = rmp_serde::from_slice::<Row>(value) {
             table.record_stored(&row);
         }
     }
-    for fingerprint in commit.removes.iter().filter_map(|key| read_key(key)?.ok()) {
+    for fingerprint in commit.removes.iter().filter_map(|key| parse_key(key)?.ok()) {
         table.record_removed(&fingerprint);
     }
 }
--- a/crates/node/src/suspects.rs
+++ b/crates/node/src/suspects.rs
@@ -114,7 +114,7 @@
 fn tell(node: &Node, changes: &[Change]) {
     let other = |change: &&Change| discriminant(&change.before) != discriminant(&change.after);
     for Change { row, before, after } in changes.iter().filter(other) {
-        telemetry::count_suspect(after);
+        telemetry::count_level_change(after);
         let account = row.account.as_ref().map_or("-", |account| account.as_str());
         let ends: Vec<String> = row.crashes.iter().map(Crash::to_string).collect();
         let line = format!(
--- a/crates/node/src/suspension.rs
+++ b/crates/node/src/suspension.rs
@@ -14,28 +14,28 @@
 
 /// How often the clocks are compared: a request whose time was over during a suspension is
 /// answered this long after it at the latest.
-const BEAT: Millis = Millis(100);
+const CHECK_INTERVAL: Millis = Millis(100);
 
 /// Looks after time until the process ends.
 pub async fn run(node: Arc<Node>) {
-    let mut watch = SuspensionDetector::new(node.clock.clone());
+    let mut detector = SuspensionDetector::new(node.clock.clone());
     loop {
-        tokio::time::sleep(BEAT.duration()).await;
-        if let Some(gap) = watch.check(BEAT) {
-            wake(&node, gap);
+        tokio::time::sleep(CHECK_INTERVAL.duration()).await;
+        if let Some(suspension) = detector.check(CHECK_INTERVAL) {
+            handle_resume(&node, suspension);
         }
         suspects::settle(&node);
     }
 }
 
-/// The process runs again. What is known is as old as the clock says, which counts the gap:
+/// The process runs again. What is known is as old as the clock says, which counts the suspension:
 /// nothing has to be thrown away.
-fn wake(node: &Node, gap: Suspension) {
-    let silence = node.staleness().map_or("unknown".to_owned(), |silence| silence.to_string());
+fn handle_resume(node: &Node, suspension: Suspension) {
+    let staleness = node.staleness().map_or("unknown".to_owned(), |staleness| staleness.to_string());
     log::warn!(
-        "node: this process was {gap}; changes of the store may be missed for {silence}, {} requests under way",
+        "node: this process was {suspension}; changes of the store may be missed for {staleness}, {} requests under way",
         node.running()
     );
-    telemetry::count_gap(&gap);
-    node.resumed.send_modify(|times| *times += 1);
+    telemetry::count_suspension(&suspension);
+    node.resumed.send_modify(|count| *count += 1);
 }
--- a/crates/node/src/telemetry.rs
+++ b/crates/node/src/telemetry.rs
@@ -27,15 +27,15 @@
 pub const PORT: u16 = 9464;
 
 /// How often figures that are states are taken.
-const SAMPLE: Millis = Millis(1000);
+const SAMPLE_INTERVAL: Millis = Millis(1000);
 
 /// How many samples the highest age of the proof is taken of: figures that are fetched
 /// less often than that miss what came between.
-const SAMPLES: usize = 10;
+const AGE_SAMPLES: usize = 10;
 
 /// The bounds of latency histograms, in seconds: around what is wanted of first
 /// events today, 0.15 to 0.5 s.
-const LATENCY: [f64; 9] = [0.05, 0.1, 0.15, 0.2, 0.3, 0.5, 1.0, 2.0, 5.0];
+const LATENCY_BUCKETS: [f64; 9] = [0.05, 0.1, 0.15, 0.2, 0.3, 0.5, 1.0, 2.0, 5.0];
 
 /// A request was answered, or its answer has begun. `outcome` is `answered` or
 /// the reason of the refusal.
@@ -49,12 +49,12 @@
 }
 
 /// Another node has put a question of this kind, of so many bytes, and got an answer.
-pub fn count_question(kind: &'static str, asked: usize, answered: usize) {
+pub fn count_query(kind: &'static str, query_bytes: usize, answer_bytes: usize) {
     metrics::counter!("cottoncrank_questions_total", "kind" => kind).increment(1);
     metrics::counter!("cottoncrank_question_bytes_total", "kind" => kind, "direction" => "in")
-        .increment(asked as u64);
+        .increment(query_bytes as u64);
     metrics::counter!("cottoncrank_question_bytes_total", "kind" => kind, "direction" => "out")
-        .increment(answered as u64);
+        .increment(answer_bytes as u64);
 }
 
 /// This node, which decides, has put so many questions to runners.
@@ -63,24 +63,24 @@
 }
 
 /// A look of the deciding node at the fleet took so long.
-pub fn record_look(took: Millis) {
+pub fn record_planning_time(took: Millis) {
     metrics::histogram!("cottoncrank_look_seconds").record(took.0 as f64 / 1000.0);
 }
 
 /// A node of this hall was lent a retry, or there was none.
-pub fn count_loan(lent: bool) {
-    let outcome = if lent { "lent" } else { "none" };
+pub fn count_retry_grant(granted: bool) {
+    let outcome = if granted { "lent" } else { "none" };
     metrics::counter!("cottoncrank_retries_lent_total", "outcome" => outcome).increment(1);
 }
 
 /// A runner of a hall that names a rate has answered a request of this node.
-pub fn count_limited(hall: &id::Hall) {
+pub fn count_rate_limited(hall: &id::Hall) {
     metrics::counter!("cottoncrank_limited_sent_total", "hall" => hall.to_string()).increment(1);
 }
 
 /// The process did not run for a while.
-pub fn count_gap(gap: &Suspension) {
-    let kind = match gap {
+pub fn count_suspension(suspension: &Suspension) {
+    let kind = match suspension {
         Suspension::Suspended(_) => "suspended",
         Suspension::Frozen(_) => "frozen",
     };
@@ -93,7 +93,7 @@
 }
 
 /// Something that was in force here is kept, for the store has an older one or none.
-pub fn count_carried(kind: &'static str) {
+pub fn count_carried_item(kind: &'static str) {
     metrics::counter!("cottoncrank_items_carried_total", "kind" => kind).increment(1);
 }
 
@@ -103,7 +103,7 @@
 }
 
 /// The level of suspicion of a request has changed.
-pub fn count_suspect(level: &Level) {
+pub fn count_level_change(level: &Level) {
     let level = match level {
         Level::Clear => "clear",
         Level::Suspected(_) => "suspected",
@@ -121,35 +121,35 @@
 }
 
 /// An item of the store cannot be read: what it is, and why.
-pub fn count_unreadable(part: &'static str, reason: &'static str) {
+pub fn count_invalid_item(part: &'static str, reason: &'static str) {
     metrics::counter!("cottoncrank_items_unreadable_total", "part" => part, "reason" => reason).increment(1);
 }
 
 /// A stream was cut after its first event.
-pub fn count_cut() {
+pub fn count_cut_stream() {
     metrics::counter!("cottoncrank_streams_cut_total").increment(1);
 }
 
 /// The first event, or the whole of a plain answer, came after `wait`.
-pub fn record_first(kind: &'static str, wait: Millis) {
+pub fn record_first_event(kind: &'static str, wait: Millis) {
     metrics::histogram!("cottoncrank_first_event_seconds", "kind" => kind).record(wait.0 as f64 / 1000.0);
 }
 
 /// Installs the recorder. Only the first call of a process can.
-pub fn install() -> Option<PrometheusHandle> {
-    let builder = PrometheusBuilder::new().set_buckets(&LATENCY).ok()?;
+pub fn install_recorder() -> Option<PrometheusHandle> {
+    let builder = PrometheusBuilder::new().set_buckets(&LATENCY_BUCKETS).ok()?;
     let recorder = builder.build_recorder();
     let handle = recorder.handle();
     metrics::set_global_recorder(recorder).ok().map(|()| handle)
 }
 
 /// Takes figures that are states, until the process ends.
-pub async fn sample(node: Arc<Node>) {
+pub async fn sample_gauges(node: Arc<Node>) {
     let mut ages = VecDeque::new();
     loop {
         let age = node.freshness.lock().age(node.now()).map_or(-1.0, |age| age.0 as f64 / 1000.0);
         ages.push_back(age);
-        if ages.len() > SAMPLES {
+        if ages.len() > AGE_SAMPLES {
             ages.pop_front();
         }
         metrics::gauge!("cottoncrank_store_proof_age_seconds").set(age);
@@ -174,13 +174,13 @@
             metrics::gauge!("cottoncrank_limit", "model" => model).set(limit.level());
         }
         for (hall, pressure) in news::measure(&node) {
-            show_pressure(hall.as_str(), &pressure);
+            set_pressure(hall.as_str(), &pressure);
         }
-        tokio::time::sleep(SAMPLE.duration()).await;
+        tokio::time::sleep(SAMPLE_INTERVAL.duration()).await;
     }
 }
 
-fn show_pressure(hall: &str, pressure: &Pressure) {
+fn set_pressure(hall: &str, pressure: &Pressure) {
     let set = |state: &'static str, count: usize| {
         metrics::gauge!("cottoncrank_runners_saying", "hall" => hall.to_owned(), "state" => state)
             .set(count as f64);
@@ -200,7 +200,7 @@
                 let handle = handle.clone();
                 tokio::spawn(async move {
                     let service = service_fn(move |_: Request<Incoming>| {
-                        let answer = show(&handle);
+                        let answer = render(&handle);
                         async move { Ok::<Answer, Infallible>(answer) }
                     });
                     if let Err(error) =
@@ -215,7 +215,7 @@
     }
 }
 
-fn show(handle: &PrometheusHandle) -> Answer {
+fn render(handle: &PrometheusHandle) -> Answer {
     handle.run_upkeep();
     let mut answer = Response::new(Body::Whole(Some(Bytes::from(handle.render()))));
     answer.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("text/plain; version=0.0.4"));
--- a/crates/node/src/throttle.rs
+++ b/crates/node/src/throttle.rs
@@ -70,7 +70,7 @@
     let heard = node.now();
     put(node, Claim { runner: pick.id.clone(), life: pick.life, rate, asked, heard }, "says");
     if rate.is_some() {
-        telemetry::count_limited(&pick.hall);
+        telemetry::count_rate_limited(&pick.hall);
     }
 }
 
