--- a/crates/node/src/crash.rs
+++ b/crates/node/src/crash.rs
@@ -79,7 +79,7 @@
 /// Takes in what a try without an answer says of its request: whether the runner ended under
 /// it. That is found out to its end also where the caller leaves meanwhile.
 pub(crate) async fn investigate(node: &Arc<Node>, job: &Job, pick: &Pick, error: &AttemptError) {
-    let row = suspects::write_row(node, job, pick);
+    let row = suspects::build_row(node, job, pick);
     match error {
         AttemptError::Broken(_) => {
             let (request, node, pick) = (job.id().to_owned(), node.clone(), pick.clone());
@@ -107,7 +107,7 @@
         row.fingerprint
     );
     match finding {
-        Finding::Ended => suspects::take(node, &[row], Origin::Hall),
+        Finding::Ended => suspects::merge_rows(node, &[row], Origin::Hall),
         Finding::Sound => {}
         Finding::Unknown => note_break(node, pick, row),
     }
@@ -153,7 +153,7 @@
         let rows = node.interruptions.lock().take_crashed(&pick.id, pick.life, node.now());
         if finding == Finding::Ended && !rows.is_empty() {
             log::info!("crash: {} has ended under {} requests", pick.id, rows.len());
-            suspects::take(&node, &rows, Origin::Hall);
+            suspects::merge_rows(&node, &rows, Origin::Hall);
         }
         return;
     }
--- a/crates/node/src/peer.rs
+++ b/crates/node/src/peer.rs
@@ -28,7 +28,7 @@
 use crate::front::pause_accepting;
 use crate::retries::{self, Loan};
 use crate::state::Node;
-use crate::suspects::{self, Letter};
+use crate::suspects::{self, Envelope};
 use crate::telemetry;
 use crate::throttle::{self, Place, Plea};
 
@@ -185,24 +185,27 @@
 
 async fn answer_read(node: &Node, path: &str, bytes: Bytes) -> Answer {
     if path == REPORT_PATH {
-        if let Ok(Letter { question, push }) = rmp_serde::from_slice::<Letter<Report>>(&bytes) {
-            let pull = suspects::answer(node, &push, question.scope);
-            return reply_encoded(&suspects::Reply { answer: collect::take(node, question), pull });
+        if let Ok(Envelope { question, push }) = rmp_serde::from_slice::<Envelope<Report>>(&bytes) {
+            let pull = suspects::receive_push(node, &push, question.scope);
+            return reply_encoded(&suspects::EnvelopeReply { answer: collect::take(node, question), pull });
         }
     } else if path == GROUP_PATH {
-        if let Ok(Letter { question, push }) = rmp_serde::from_slice::<Letter<Question>>(&bytes) {
-            let pull = suspects::answer(node, &push, Scope::Node);
-            return reply_encoded(&suspects::Reply { answer: dispatch::take(node, question), pull });
+        if let Ok(Envelope { question, push }) = rmp_serde::from_slice::<Envelope<Question>>(&bytes) {
+            let pull = suspects::receive_push(node, &push, Scope::Node);
+            return reply_encoded(&suspects::EnvelopeReply { answer: dispatch::take(node, question), pull });
         }
     } else if path == PLACE_PATH {
-        if let Ok(Letter { question, push }) = rmp_serde::from_slice::<Letter<Plea>>(&bytes) {
-            let pull = suspects::answer(node, &push, Scope::Node);
-            return reply_encoded(&suspects::Reply { answer: throttle::give_place(node, &question), pull });
+        if let Ok(Envelope { question, push }) = rmp_serde::from_slice::<Envelope<Plea>>(&bytes) {
+            let pull = suspects::receive_push(node, &push, Scope::Node);
+            return reply_encoded(&suspects::EnvelopeReply {
+                answer: throttle::give_place(node, &question),
+                pull,
+            });
         }
     } else if path == LOAN_PATH {
-        if let Ok(Letter { question, push }) = rmp_serde::from_slice::<Letter<Loan>>(&bytes) {
-            let pull = suspects::answer(node, &push, Scope::Node);
-            return reply_encoded(&suspects::Reply { answer: retries::lend(node, &question), pull });
+        if let Ok(Envelope { question, push }) = rmp_serde::from_slice::<Envelope<Loan>>(&bytes) {
+            let pull = suspects::receive_push(node, &push, Scope::Node);
+            return reply_encoded(&suspects::EnvelopeReply { answer: retries::lend(node, &question), pull });
         }
     } else if path == PATH
         && let Ok(question) = rmp_serde::from_slice::<Ask>(&bytes)
--- a/crates/node/src/plain.rs
+++ b/crates/node/src/plain.rs
@@ -37,7 +37,7 @@
         if job.is_over(node) {
             return Err(Refusal::Late);
         }
-        match suspects::rule(node, job) {
+        match suspects::decide(node, job) {
             Ruling::Run | Ruling::Trial => {}
             Ruling::Reject => return Err(Refusal::Deadly),
             Ruling::Quarantine if may_have_run => break,
@@ -62,7 +62,7 @@
         tried.push(pick.id.clone());
         let outcome = tokio::select! {
             outcome = try_at(node, job, &pick) => outcome,
-            () = suspects::wait_deadly(node, job) => Err(AttemptError::Stopped),
+            () = suspects::wait_until_deadly(node, job) => Err(AttemptError::Stopped),
         };
         match outcome {
             Ok(answer) => {
--- a/crates/node/src/relay.rs
+++ b/crates/node/src/relay.rs
@@ -12,7 +12,7 @@
 use crate::flight::{Admitted, Running};
 use crate::source::{Next, PATIENCE, Source, read_next};
 use crate::state::Node;
-use crate::suspects::{record_completed, wait_deadly};
+use crate::suspects::{record_completed, wait_until_deadly};
 use crate::telemetry;
 use crate::tries::{Tries, next_attempt};
 
@@ -109,7 +109,7 @@
                 self.node.ledger.lock().blame(&pick.id, self.node.now());
                 Err(AttemptError::Silent(format!("no event for {PATIENCE}")))
             }),
-            () = wait_deadly(&self.node, &self.job) => Err(AttemptError::Stopped),
+            () = wait_until_deadly(&self.node, &self.job) => Err(AttemptError::Stopped),
             () = pick.wait_lost(&self.node), if self.job.route.is_repeatable() => {
                 Err(AttemptError::MayHaveRun("its group lost a member".to_owned()))
             }
--- a/crates/node/src/source.rs
+++ b/crates/node/src/source.rs
@@ -12,7 +12,7 @@
 use crate::channel::Channel;
 use crate::flight::Attempting;
 use crate::state::Node;
-use crate::suspects::wait_deadly;
+use crate::suspects::wait_until_deadly;
 
 /// A runner that sends nothing for this long is given up on. A group that lost a
 /// member is known to all nodes sooner than that; one that is only busy must not
@@ -61,7 +61,7 @@
     tokio::pin!(waiting);
     let lost = pick.wait_lost(node);
     tokio::pin!(lost);
-    let deadly = wait_deadly(node, job);
+    let deadly = wait_until_deadly(node, job);
     tokio::pin!(deadly);
     loop {
         tokio::select! {
--- a/crates/node/src/state.rs
+++ b/crates/node/src/state.rs
@@ -288,7 +288,7 @@
     pub fn insert_runner(&self, runner: Runner) {
         let (id, life) = (runner.id.clone(), runner.incarnation);
         let ended = self.interruptions.lock().take_replaced(&id, runner.address, self.now());
-        suspects::take(self, &ended, Origin::Hall);
+        suspects::merge_rows(self, &ended, Origin::Hall);
         let notice = self.roster.lock().insert(runner);
         match (notice, life) {
             (Update::Restarted, Some(life)) => self.handle_restart(&id, life),
@@ -339,7 +339,7 @@
         metrics::counter!("cottoncrank_runners_restarted_total").increment(1);
         self.ledger.lock().restart(id);
         let ended = self.interruptions.lock().take_earlier(id, life, self.now());
-        suspects::take(self, &ended, Origin::Hall);
+        suspects::merge_rows(self, &ended, Origin::Hall);
     }
 
     /// This node knew all that the store held at `at`.
--- a/crates/node/src/suspect_store.rs
+++ b/crates/node/src/suspect_store.rs
@@ -65,7 +65,7 @@
 
 /// The store holds this.
 pub(crate) fn apply_entry(node: &Node, row: &Row) {
-    suspects::take(node, std::slice::from_ref(row), Origin::Elsewhere);
+    suspects::merge_rows(node, std::slice::from_ref(row), Origin::Elsewhere);
     node.suspects.lock().record_stored(row);
 }
 
@@ -74,7 +74,7 @@
 pub(crate) fn apply_removal(node: &Node, key: &str) -> bool {
     let Some(Ok(fingerprint)) = parse_key(key) else { return false };
     if node.suspects.lock().record_removed(&fingerprint) {
-        suspects::lift(node, &fingerprint, "its entry was removed from the store");
+        suspects::void_crashes(node, &fingerprint, "its entry was removed from the store");
     }
     true
 }
--- a/crates/node/src/suspension.rs
+++ b/crates/node/src/suspension.rs
@@ -24,7 +24,7 @@
         if let Some(suspension) = detector.check(CHECK_INTERVAL) {
             handle_resume(&node, suspension);
         }
-        suspects::settle(&node);
+        suspects::update_levels(&node);
     }
 }
 
--- a/crates/node/src/tries.rs
+++ b/crates/node/src/tries.rs
@@ -81,7 +81,7 @@
         Some(Reply::Take(_) | Reply::Full(_) | Reply::Throttled(_)) => None,
         Some(Reply::Held) => Some(Refusal::Held),
         Some(Reply::Deadly) => Some(Refusal::Deadly),
-        Some(Reply::Unknown) | None => match suspects::rule(node, job) {
+        Some(Reply::Unknown) | None => match suspects::decide(node, job) {
             Ruling::Run | Ruling::Trial => None,
             Ruling::Quarantine => Some(Refusal::Held),
             Ruling::Reject => Some(Refusal::Deadly),
