--- a/crates/node/src/attempt.rs
+++ b/crates/node/src/attempt.rs
@@ -229,7 +229,7 @@
     let backoff = backoff::note(node, &pick.id, pick.life, status, response.headers());
     let verdict = header::read_verdict(status, response.headers(), job.terms.request.as_deref());
     if header::is_from_meant(status) && verdict != Verdict::Foreign {
-        throttle::note(node, pick, asked, response.headers());
+        throttle::record_rate(node, pick, asked, response.headers());
     }
     let attempt = Attempt { pick: pick.clone(), response, channel, counted };
     match verdict {
--- a/crates/node/src/candidates.rs
+++ b/crates/node/src/candidates.rs
@@ -151,5 +151,5 @@
         let picked = balance::pick(&candidates, tried, &ledger, &view, node.now(), &mut rand::rng());
         picked.map(|runner| write_pick(node, job, runner))
     };
-    free.or_else(|| pick_at(node, job, &throttle::take_alone(node, job, tried)?))
+    free.or_else(|| pick_at(node, job, &throttle::pick_without_collector(node, job, tried)?))
 }
--- a/crates/node/src/collect.rs
+++ b/crates/node/src/collect.rs
@@ -41,7 +41,7 @@
     loop {
         let settings = node.settings();
         node.unreachable_for_reports.lock().forget(node.now());
-        throttle::forget(&node);
+        throttle::remove_gone(&node);
         let collector = find_collector(&node, &settings.hall, &node.unreachable_for_reports.lock());
         let failed = match collector {
             Some(collector) if collector.node != settings.node => {
@@ -89,7 +89,7 @@
 async fn tell(node: &Node, client: &Client, collector: &Peer) -> Result<(), id::Node> {
     let asked = node.now();
     let report = write_report(node, Scope::Node, node.sum_in_flight());
-    let told = peer::report(node, client, collector, &report, ANSWER).await;
+    let told = peer::send_report(node, client, collector, &report, ANSWER).await;
     match told {
         Ok(reply) => {
             news::take(node, &reply.news, Scope::Hall);
@@ -115,7 +115,7 @@
         let (node, client) = (node.clone(), client.clone());
         let report = write_report(&node, Scope::Hall, sum.clone());
         telling.spawn(async move {
-            let told = peer::report(&node, &client, &collector, &report, ANSWER).await;
+            let told = peer::send_report(&node, &client, &collector, &report, ANSWER).await;
             told.map_err(|error| {
                 log::info!("collect: {} is not told for {AVOID}: {error}", collector.node);
                 collector.node
@@ -143,7 +143,7 @@
         sum,
         doubted,
         news: news::tell(node, scope),
-        wants: throttle::list_wants(node, scope),
+        wants: throttle::list_demands(node, scope),
     }
 }
 
--- a/crates/node/src/dispatch.rs
+++ b/crates/node/src/dispatch.rs
@@ -58,7 +58,7 @@
     if collector.node == settings.node {
         return Some(choose(node, &question));
     }
-    match peer::ask_group(node, &collector, &question, ANSWER).await {
+    match peer::query_group(node, &collector, &question, ANSWER).await {
         Ok(reply) => Some(reply),
         Err(error) => {
             log::info!("request {}: {} does not choose a group: {error}", job.id(), collector.node);
@@ -145,7 +145,7 @@
         model,
         speed: &engine.speed,
         trials: &trials,
-        spent: &limited.spent,
+        spent: &limited.exhausted,
     };
     let load = |epoch: Epoch| loads.get(&epoch).copied().unwrap_or(Load::default());
     let mut dispatcher = node.dispatcher.lock();
@@ -153,9 +153,9 @@
         dispatcher.learn(sample);
     }
     let Chosen { reply, best } = dispatcher.choose(&choice, question, load, now, &mut rand::rng());
-    throttle::note_choice(node, &heads, reply, best, now);
+    throttle::record_choice(node, &heads, reply, best, now);
     if let Reply::Throttled(soonest) = reply {
-        let wait = throttle::plan_return(node, question, &limited, now);
+        let wait = throttle::plan_retry(node, question, &limited, now);
         return Reply::Throttled(wait.map_or(soonest, |wait| wait.0));
     }
     if let (Ruling::Trial, Reply::Take(promise)) = (ruling, reply) {
--- a/crates/node/src/news.rs
+++ b/crates/node/src/news.rs
@@ -19,7 +19,7 @@
         refusing.extend(node.refusals.lock().list_here(now).cloned());
     }
     News {
-        claims: throttle::list_claims(node, scope),
+        claims: throttle::list_rates(node, scope),
         leaving: node.roster.lock().list_leaving(),
         refusing: refusing.into_iter().collect(),
     }
@@ -30,7 +30,7 @@
 pub(crate) fn answer(node: &Node, scope: Scope) -> News {
     match scope {
         Scope::Node => News {
-            claims: throttle::list_plain_claims(node),
+            claims: throttle::list_plain_rates(node),
             leaving: node.roster.lock().list_leaving(),
             refusing: node.refusals.lock().list(node.now()).cloned().collect(),
         },
@@ -40,7 +40,7 @@
 
 /// Takes in what another node tells: a node of this hall, or one that speaks for others.
 pub(crate) fn take(node: &Node, news: &News, scope: Scope) {
-    throttle::take_claims(node, &news.claims);
+    throttle::receive_rates(node, &news.claims);
     for Leaving { runner, life } in &news.leaving {
         node.record_leaving(runner, *life);
     }
--- a/crates/node/src/peer.rs
+++ b/crates/node/src/peer.rs
@@ -30,19 +30,19 @@
 use crate::state::Node;
 use crate::suspects::{self, Envelope};
 use crate::telemetry;
-use crate::throttle::{self, Place, Plea};
+use crate::throttle::{self, Permit};
 
 /// The path of the question.
-const PATH: &str = "/news";
+const CHANGES_PATH: &str = "/news";
 
 /// The path of the question which group takes a request.
 const GROUP_PATH: &str = "/group";
 
 /// The path of the question for a place at a runner that names a rate.
-const PLACE_PATH: &str = "/place";
+const PERMIT_PATH: &str = "/place";
 
 /// The path of the question for a retry.
-const LOAN_PATH: &str = "/retry";
+const RETRY_PATH: &str = "/retry";
 
 /// The path of a report of what is in flight.
 const REPORT_PATH: &str = "/in-flight";
@@ -50,20 +50,20 @@
 /// The largest question or report, in bytes: a report has some five bytes for each
 /// group, of which there are a thousand at most, and some hundred for each suspected
 /// request that is new.
-const ASK_MAX: usize = 64 * 1024;
+const MAX_QUERY_BYTES: usize = 64 * 1024;
 
 /// How much longer than it asked to wait a question may take until its answer begins, and how
 /// long the answer may pause. All that the store holds takes seconds on the way where many nodes
 /// ask a small box at once.
-const SLACK: Millis = Millis(400);
+const CALL_MARGIN: Millis = Millis(400);
 
 /// A question without news is answered no sooner than this, for each costs a call; a
 /// question waits for 0.7 s on average, as long as a watch of the store.
-const RENEWED: Millis = Millis(200);
+const MIN_EMPTY_WAIT: Millis = Millis(200);
 
 /// A question for what is new.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
-pub struct Ask {
+pub struct ChangeQuery {
     /// Up to where the asking node knows everything.
     pub after: Option<Position>,
     /// How long to wait for something new, in milliseconds.
@@ -72,7 +72,7 @@
 
 /// What is new.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Told {
+pub struct ChangeBatch {
     /// Up to where this node knows everything.
     pub position: Position,
     /// Whether the items are all there are.
@@ -89,7 +89,7 @@
 
 /// A question without a usable answer.
 #[derive(Debug, Error)]
-pub enum AskError {
+pub enum PollError {
     /// The other node did not answer, or does not know.
     #[error(transparent)]
     Call(#[from] CallError),
@@ -99,13 +99,17 @@
 }
 
 /// Asks another node for what is new.
-pub async fn ask(client: &Client, address: SocketAddr, question: Ask) -> Result<Told, AskError> {
-    let wait = Millis(question.wait_ms) + SLACK;
-    Ok(client.call_steadily(address, PATH, &question, wait, SLACK).await?)
+pub async fn poll_changes(
+    client: &Client,
+    address: SocketAddr,
+    query: ChangeQuery,
+) -> Result<ChangeBatch, PollError> {
+    let wait = Millis(query.wait_ms) + CALL_MARGIN;
+    Ok(client.call_steadily(address, CHANGES_PATH, &query, wait, CALL_MARGIN).await?)
 }
 
 /// Tells another node what is in flight. Returns what others have.
-pub async fn report(
+pub async fn send_report(
     node: &Node,
     client: &Client,
     to: &Peer,
@@ -116,23 +120,28 @@
 }
 
 /// Asks the collector of the hall which group takes a request.
-pub async fn ask_group(
-    node: &Node,
-    to: &Peer,
-    question: &Question,
-    wait: Millis,
-) -> Result<Reply, CallError> {
-    suspects::exchange(node, &node.client, to, GROUP_PATH, question, wait).await
+pub async fn query_group(node: &Node, to: &Peer, query: &Question, wait: Millis) -> Result<Reply, CallError> {
+    suspects::exchange(node, &node.client, to, GROUP_PATH, query, wait).await
 }
 
 /// Asks the collector of the hall for a place at a runner that names a rate.
-pub(crate) async fn ask_place(node: &Node, to: &Peer, plea: &Plea, wait: Millis) -> Result<Place, CallError> {
-    suspects::exchange(node, &node.client, to, PLACE_PATH, plea, wait).await
+pub(crate) async fn query_permit(
+    node: &Node,
+    to: &Peer,
+    query: &throttle::Query,
+    wait: Millis,
+) -> Result<Permit, CallError> {
+    suspects::exchange(node, &node.client, to, PERMIT_PATH, query, wait).await
 }
 
 /// Asks the collector of the hall for a retry. Returns whether it lends one.
-pub(crate) async fn ask_loan(node: &Node, to: &Peer, loan: &Loan, wait: Millis) -> Result<bool, CallError> {
-    suspects::exchange(node, &node.client, to, LOAN_PATH, loan, wait).await
+pub(crate) async fn query_retry(
+    node: &Node,
+    to: &Peer,
+    query: &Loan,
+    wait: Millis,
+) -> Result<bool, CallError> {
+    suspects::exchange(node, &node.client, to, RETRY_PATH, query, wait).await
 }
 
 /// Answers other nodes until the process ends.
@@ -153,7 +162,7 @@
     }
     let service = service_fn(|request: Request<Incoming>| {
         let node = node.clone();
-        async move { Ok::<Answer, Infallible>(answer(&node, request).await) }
+        async move { Ok::<Answer, Infallible>(handle_request(&node, request).await) }
     });
     if let Err(error) = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await {
         log::debug!("peer: a connection ended with {error}");
@@ -161,120 +170,120 @@
 }
 
 /// What the figures call a question.
-fn find_kind(path: &str) -> &'static str {
+fn find_query_kind(path: &str) -> &'static str {
     match path {
-        PATH => "news",
+        CHANGES_PATH => "news",
         GROUP_PATH => "group",
-        PLACE_PATH => "place",
-        LOAN_PATH => "retry",
+        PERMIT_PATH => "place",
+        RETRY_PATH => "retry",
         REPORT_PATH => "report",
         _ => "other",
     }
 }
 
-async fn answer(node: &Node, request: Request<Incoming>) -> Answer {
+async fn handle_request(node: &Node, request: Request<Incoming>) -> Answer {
     let path = request.uri().path().to_owned();
-    let body = Limited::new(request.into_body(), ASK_MAX).collect().await;
+    let body = Limited::new(request.into_body(), MAX_QUERY_BYTES).collect().await;
     let bytes = body.map(|body| body.to_bytes()).unwrap_or_default();
-    let asked = bytes.len();
-    let answer = answer_read(node, &path, bytes).await;
-    let answered = answer.body().size_hint().exact().unwrap_or(0) as usize;
-    telemetry::count_query(find_kind(&path), asked, answered);
+    let query_bytes = bytes.len();
+    let answer = handle_query(node, &path, bytes).await;
+    let answer_bytes = answer.body().size_hint().exact().unwrap_or(0) as usize;
+    telemetry::count_query(find_query_kind(&path), query_bytes, answer_bytes);
     answer
 }
 
-async fn answer_read(node: &Node, path: &str, bytes: Bytes) -> Answer {
+async fn handle_query(node: &Node, path: &str, bytes: Bytes) -> Answer {
     if path == REPORT_PATH {
         if let Ok(Envelope { question, push }) = rmp_serde::from_slice::<Envelope<Report>>(&bytes) {
             let pull = suspects::receive_push(node, &push, question.scope);
-            return reply_encoded(&suspects::EnvelopeReply { answer: collect::take(node, question), pull });
+            return encode_answer(&suspects::EnvelopeReply { answer: collect::take(node, question), pull });
         }
     } else if path == GROUP_PATH {
         if let Ok(Envelope { question, push }) = rmp_serde::from_slice::<Envelope<Question>>(&bytes) {
             let pull = suspects::receive_push(node, &push, Scope::Node);
-            return reply_encoded(&suspects::EnvelopeReply { answer: dispatch::take(node, question), pull });
+            return encode_answer(&suspects::EnvelopeReply { answer: dispatch::take(node, question), pull });
         }
-    } else if path == PLACE_PATH {
-        if let Ok(Envelope { question, push }) = rmp_serde::from_slice::<Envelope<Plea>>(&bytes) {
+    } else if path == PERMIT_PATH {
+        if let Ok(Envelope { question, push }) = rmp_serde::from_slice::<Envelope<throttle::Query>>(&bytes) {
             let pull = suspects::receive_push(node, &push, Scope::Node);
-            return reply_encoded(&suspects::EnvelopeReply {
-                answer: throttle::give_place(node, &question),
+            return encode_answer(&suspects::EnvelopeReply {
+                answer: throttle::grant_permit(node, &question),
                 pull,
             });
         }
-    } else if path == LOAN_PATH {
+    } else if path == RETRY_PATH {
         if let Ok(Envelope { question, push }) = rmp_serde::from_slice::<Envelope<Loan>>(&bytes) {
             let pull = suspects::receive_push(node, &push, Scope::Node);
-            return reply_encoded(&suspects::EnvelopeReply { answer: retries::lend(node, &question), pull });
+            return encode_answer(&suspects::EnvelopeReply { answer: retries::lend(node, &question), pull });
         }
-    } else if path == PATH
-        && let Ok(question) = rmp_serde::from_slice::<Ask>(&bytes)
+    } else if path == CHANGES_PATH
+        && let Ok(query) = rmp_serde::from_slice::<ChangeQuery>(&bytes)
     {
-        return tell(node, question).await;
+        return answer_change_query(node, query).await;
     }
-    log::warn!("peer: a question to {path} that cannot be read, {} bytes", bytes.len());
-    reply(StatusCode::BAD_REQUEST, Bytes::new())
+    log::warn!("peer: a query to {path} cannot be decoded, {} bytes", bytes.len());
+    build_answer(StatusCode::BAD_REQUEST, Bytes::new())
 }
 
-async fn tell(node: &Node, question: Ask) -> Answer {
+async fn answer_change_query(node: &Node, query: ChangeQuery) -> Answer {
     let started = node.now();
     let mut serving = node.feed.subscribe_serving();
     tokio::select! {
-        () = wait_newer(node, question) => {}
+        () = wait_for_changes(node, query) => {}
         // The sender lives as long as the node.
         _ = serving.wait_for(|serving| !serving) => {}
     }
     if !*serving.borrow() {
-        return reply(StatusCode::SERVICE_UNAVAILABLE, Bytes::new());
+        return build_answer(StatusCode::SERVICE_UNAVAILABLE, Bytes::new());
     }
     let age = node.freshness.lock().age(node.now());
-    let news = match node.feed.read_packed(question.after) {
-        Ok(news) => news,
-        Err(error) => return fail_encoding(&error),
+    let batch = match node.feed.read_packed(query.after) {
+        Ok(batch) => batch,
+        Err(error) => return report_encode_error(&error),
     };
-    let Some(((news, age), silence)) = news.zip(age).zip(node.staleness()) else {
-        return reply(StatusCode::SERVICE_UNAVAILABLE, Bytes::new());
+    let Some(((batch, age), staleness)) = batch.zip(age).zip(node.staleness()) else {
+        return build_answer(StatusCode::SERVICE_UNAVAILABLE, Bytes::new());
     };
-    reply_encoded(&Told {
-        position: news.position,
-        whole: news.whole,
+    encode_answer(&ChangeBatch {
+        position: batch.position,
+        whole: batch.whole,
         waited_ms: node.now().since(started).0,
         age_ms: age.0,
-        silence_ms: silence.0,
-        items: news.items,
+        silence_ms: staleness.0,
+        items: batch.items,
     })
 }
 
-fn reply_encoded<M: Serialize>(message: &M) -> Answer {
+fn encode_answer<M: Serialize>(message: &M) -> Answer {
     match rmp_serde::to_vec(message) {
-        Ok(bytes) => reply(StatusCode::OK, bytes.into()),
-        Err(error) => fail_encoding(&error),
+        Ok(bytes) => build_answer(StatusCode::OK, bytes.into()),
+        Err(error) => report_encode_error(&error),
     }
 }
 
-fn fail_encoding(error: &rmp_serde::encode::Error) -> Answer {
+fn report_encode_error(error: &rmp_serde::encode::Error) -> Answer {
     log::error!("peer: an answer could not be encoded: {error}");
-    reply(StatusCode::INTERNAL_SERVER_ERROR, Bytes::new())
+    build_answer(StatusCode::INTERNAL_SERVER_ERROR, Bytes::new())
 }
 
 /// Waits until there is something newer than the asking node has, or its time is over. An
 /// answer without news is given when this node has just been in contact with the store
 /// itself, so that those that ask it are hardly longer without than it is.
-async fn wait_newer(node: &Node, question: Ask) {
-    let Some(after) = question.after else { return };
-    let least = node.now() + RENEWED;
+async fn wait_for_changes(node: &Node, query: ChangeQuery) {
+    let Some(after) = query.after else { return };
+    let min_contact = node.now() + MIN_EMPTY_WAIT;
     let mut position = node.feed.subscribe();
     let mut contact = node.last_contact.subscribe();
     let newer = position.wait_for(|position| position.is_some_and(|position| position > after));
-    let renewed = contact.wait_for(|contact| contact.is_some_and(|contact| contact > least));
+    let renewed = contact.wait_for(|contact| contact.is_some_and(|contact| contact > min_contact));
     let either = async {
         // Whichever comes first: the feed is read next, and says what there is.
         tokio::select! { _ = newer => {} _ = renewed => {} }
     };
-    let _ = tokio::time::timeout(Millis(question.wait_ms).duration(), either).await;
+    let _ = tokio::time::timeout(Millis(query.wait_ms).duration(), either).await;
 }
 
-fn reply(status: StatusCode, bytes: Bytes) -> Answer {
+fn build_answer(status: StatusCode, bytes: Bytes) -> Answer {
     let mut answer = Response::new(Body::Whole(Some(bytes)));
     *answer.status_mut() = status;
     answer
--- a/crates/node/src/plain.rs
+++ b/crates/node/src/plain.rs
@@ -17,7 +17,7 @@
 use crate::state::Node;
 use crate::suspects;
 use crate::telemetry;
-use crate::throttle::{self, Place};
+use crate::throttle::{self, Permit};
 
 /// The largest answer that is held until it is whole, in bytes.
 const ANSWER_MAX: usize = 4 << 20;
@@ -43,17 +43,17 @@
             Ruling::Quarantine if may_have_run => break,
             Ruling::Quarantine => return Err(Refusal::Held),
         }
-        let pick = match throttle::ask(node, job, &tried).await {
-            Some(Place::Take(runner)) => pick_at(node, job, &runner),
-            Some(Place::Wait(wait)) if !has_free(node, job, &tried) => {
+        let pick = match throttle::query_permit(node, job, &tried).await {
+            Some(Permit::Take(runner)) => pick_at(node, job, &runner),
+            Some(Permit::Wait(wait)) if !has_free(node, job, &tried) => {
                 place = Some(wait);
                 break;
             }
-            Some(Place::Free(claims)) => {
-                throttle::take_claims(node, &claims);
+            Some(Permit::Free(claims)) => {
+                throttle::receive_rates(node, &claims);
                 None
             }
-            Some(Place::Wait(_)) | None => None,
+            Some(Permit::Wait(_)) | None => None,
         };
         let Some(pick) = pick.or_else(|| pick_free(node, job, &tried)) else { break };
         if arrived && !retries::spend(node, job).await {
--- a/crates/node/src/retries.rs
+++ b/crates/node/src/retries.rs
@@ -75,7 +75,7 @@
     let loan = Loan { node: node.settings().node.clone() };
     let lent = match collector.node == loan.node {
         true => lend(node, &loan),
-        false => match peer::ask_loan(node, &collector, &loan, ANSWER).await {
+        false => match peer::query_retry(node, &collector, &loan, ANSWER).await {
             Ok(lent) => lent,
             Err(error) => {
                 avoid(node, collector);
--- a/crates/node/src/suspects.rs
+++ b/crates/node/src/suspects.rs
@@ -70,9 +70,9 @@
     for row in rows {
         let changes = {
             let mut table = node.suspects.lock();
-            let version = table.version();
+            let previous = table.version();
             let changes = table.merge(row, origin, node.now());
-            if table.version() == version {
+            if table.version() == previous {
                 continue;
             }
             changes
--- a/crates/node/src/sync.rs
+++ b/crates/node/src/sync.rs
@@ -16,7 +16,7 @@
 use crate::feed::{self, UnpackError};
 use crate::intake::{Learned, Proof, take_in};
 use crate::member;
-use crate::peer::{self, Ask, AskError};
+use crate::peer::{self, ChangeQuery, PollError};
 use crate::state::Node;
 use crate::telemetry;
 
@@ -68,7 +68,7 @@
     #[error(transparent)]
     Store(#[from] StoreError),
     #[error("node: {0}")]
-    Ask(#[from] AskError),
+    Ask(#[from] PollError),
     #[error("node: {0}")]
     Unpack(#[from] UnpackError),
     #[error("node: it may have missed changes of the store for {0}")]
@@ -83,10 +83,10 @@
     /// What it says of the node that was asked.
     fn failure(&self, took: Millis) -> Failure {
         match self {
-            SyncError::Ask(AskError::Call(CallError::Status { .. }))
+            SyncError::Ask(PollError::Call(CallError::Status { .. }))
             | SyncError::Old(_)
             | SyncError::Behind { .. } => Failure::Stale,
-            SyncError::Ask(AskError::Call(CallError::Connect { .. } | CallError::Broken { .. }))
+            SyncError::Ask(PollError::Call(CallError::Connect { .. } | CallError::Broken { .. }))
                 if took < AT_ONCE =>
             {
                 Failure::Disconnected
@@ -98,14 +98,14 @@
     /// What the metrics say of it.
     fn reason(&self) -> &'static str {
         match self {
-            SyncError::Ask(AskError::Call(CallError::Status { .. })) => "unsure",
+            SyncError::Ask(PollError::Call(CallError::Status { .. })) => "unsure",
             SyncError::Store(StoreError::Busy(_)) => "refused",
-            SyncError::Ask(AskError::Call(_))
+            SyncError::Ask(PollError::Call(_))
             | SyncError::Store(StoreError::Call(_))
             | SyncError::Overdue(_) => "no_answer",
             SyncError::Old(_) => "old",
             SyncError::Behind { .. } => "behind",
-            SyncError::Ask(AskError::Unpack(_)) | SyncError::Unpack(_) | SyncError::Store(_) => "unreadable",
+            SyncError::Ask(PollError::Unpack(_)) | SyncError::Unpack(_) | SyncError::Store(_) => "unreadable",
         }
     }
 }
@@ -324,8 +324,8 @@
 
     async fn ask(&self, peer: &Peer, wait: Millis) -> Result<Learned, SyncError> {
         let asked = self.node.now();
-        let question = Ask { after: self.position, wait_ms: wait.0 };
-        let told = peer::ask(&self.client, peer.address, question).await?;
+        let question = ChangeQuery { after: self.position, wait_ms: wait.0 };
+        let told = peer::poll_changes(&self.client, peer.address, question).await?;
         let silence = Millis(told.silence_ms);
         if !self.sources.accepts(silence) {
             return Err(SyncError::Old(silence));
--- a/crates/node/src/telemetry.rs
+++ b/crates/node/src/telemetry.rs
@@ -136,7 +136,7 @@
 }
 
 /// Installs the recorder. Only the first call of a process can.
-pub fn install_recorder() -> Option<PrometheusHandle> {
+pub fn install() -> Option<PrometheusHandle> {
     let builder = PrometheusBuilder::new().set_buckets(&LATENCY_BUCKETS).ok()?;
     let recorder = builder.build_recorder();
     let handle = recorder.handle();
--- a/crates/node/src/throttle.rs
+++ b/crates/node/src/throttle.rs
@@ -26,11 +26,11 @@
 
 /// A node tells its collector what runners said to it within this time: it has told what is older
 /// in an earlier report.
-const RECENT: Millis = Millis(2000);
+const RESEND_WINDOW: Millis = Millis(2000);
 
 /// A question for a place at one of these runners.
 #[derive(Serialize, Deserialize)]
-pub(crate) struct Plea {
+pub(crate) struct Query {
     /// The service.
     service: id::Service,
     /// Whether the caller is told to come back where there is none, and how long it waits if that
@@ -41,15 +41,15 @@
     claims: Vec<Told>,
 }
 
-impl Plea {
-    fn names(&self, runner: &id::Runner) -> bool {
+impl Query {
+    fn includes(&self, runner: &id::Runner) -> bool {
         self.claims.iter().any(|told| told.runner == *runner)
     }
 }
 
 /// The answer to it.
 #[derive(Serialize, Deserialize)]
-pub(crate) enum Place {
+pub(crate) enum Permit {
     /// The request goes to this runner.
     Take(id::Runner),
     /// There is none, and the next one is so far away.
@@ -59,7 +59,7 @@
 }
 
 /// Reads from an answer to a request sent at `asked` how many requests a second its runner takes.
-pub(crate) fn note(node: &Node, pick: &Pick, asked: Millis, headers: &HeaderMap) {
+pub(crate) fn record_rate(node: &Node, pick: &Pick, asked: Millis, headers: &HeaderMap) {
     let rate = match header::read_rate(headers) {
         Ok(rate) => rate,
         Err(error) => {
@@ -68,33 +68,33 @@
         }
     };
     let heard = node.now();
-    put(node, Claim { runner: pick.id.clone(), life: pick.life, rate, asked, heard }, "says");
+    insert_rate(node, Claim { runner: pick.id.clone(), life: pick.life, rate, asked, heard }, "says");
     if rate.is_some() {
         telemetry::count_rate_limited(&pick.hall);
     }
 }
 
-fn put(node: &Node, claim: Claim, how: &str) {
+fn insert_rate(node: &Node, claim: Claim, verb: &str) {
     let runner = claim.runner.clone();
     let change = node.feedback.lock().throttles.put(claim);
     match change {
         Change::None => {}
         Change::Named(rate) => {
-            log::info!("throttle: {runner} {how} that it takes {rate} from all nodes together")
+            log::info!("throttle: {runner} {verb} that it takes {rate} from all nodes together")
         }
-        Change::Withdrawn => log::info!("throttle: {runner} {how} that it takes all requests again"),
+        Change::Withdrawn => log::info!("throttle: {runner} {verb} that it takes all requests again"),
     }
 }
 
 /// Takes in what another node tells.
-pub(crate) fn take_claims(node: &Node, claims: &[Told]) {
+pub(crate) fn receive_rates(node: &Node, claims: &[Told]) {
     for told in claims {
-        put(node, told.read(node.now()), "is told to say");
+        insert_rate(node, told.read(node.now()), "is told to say");
     }
 }
 
 /// Forgets runners that are gone.
-pub(crate) fn forget(node: &Node) {
+pub(crate) fn remove_gone(node: &Node) {
     let roster = node.roster.lock();
     let throttles = &mut node.feedback.lock().throttles;
     throttles.retain(|id| roster.get_last_known(id).is_some());
@@ -103,54 +103,54 @@
 
 /// What this node tells a collector of what runners said of their rates: to it lately, or to any
 /// of its hall.
-pub(crate) fn list_claims(node: &Node, scope: Scope) -> Vec<Told> {
+pub(crate) fn list_rates(node: &Node, scope: Scope) -> Vec<Told> {
     let now = node.now();
     let throttles = &node.feedback.lock().throttles;
-    let told = throttles.iter().filter(|claim| scope == Scope::Hall || now < claim.heard + RECENT);
-    told.map(|claim| claim.tell(now)).collect()
+    let rates = throttles.iter().filter(|claim| scope == Scope::Hall || now < claim.heard + RESEND_WINDOW);
+    rates.map(|claim| claim.tell(now)).collect()
 }
 
 /// The same, of plain runners alone: what a node of this hall has to know, for those it chooses
 /// by itself.
-pub(crate) fn list_plain_claims(node: &Node) -> Vec<Told> {
-    let (roster, said, now) = (node.roster.lock(), node.feedback.lock(), node.now());
+pub(crate) fn list_plain_rates(node: &Node) -> Vec<Told> {
+    let (roster, feedback, now) = (node.roster.lock(), node.feedback.lock(), node.now());
     let is_plain = |id: &id::Runner| roster.get_last_known(id).is_some_and(|runner| runner.domain.is_none());
-    said.throttles.iter().filter(|claim| is_plain(&claim.runner)).map(|claim| claim.tell(now)).collect()
+    feedback.throttles.iter().filter(|claim| is_plain(&claim.runner)).map(|claim| claim.tell(now)).collect()
 }
 
 /// What this hall wants of runners that name a rate.
-pub(crate) fn list_wants(node: &Node, scope: Scope) -> Vec<Want> {
+pub(crate) fn list_demands(node: &Node, scope: Scope) -> Vec<Want> {
     if scope == Scope::Node { Vec::new() } else { node.allocations.lock().list_wants(node.now()) }
 }
 
 /// What each of these runners takes from this hall, by the rate that it names.
-fn look(node: &Node, runners: &[(id::Runner, Rate)], now: Millis) -> Vec<Outlook> {
+fn list_outlooks(node: &Node, runners: &[(id::Runner, Rate)], now: Millis) -> Vec<Outlook> {
     let hall = &node.settings().hall;
     let (directory, reports) = (node.directory.lock(), node.reports.lock());
     let others = directory.list_halls().into_iter().filter(|other| *other != hall);
     let others = others.map(|hall| Neighbor { hall, silent: !reports.hears(hall, now) }).collect();
     let halls = Halls { own: hall, others };
-    let mut rations = node.allocations.lock();
-    runners.iter().map(|(runner, rate)| rations.look(runner, *rate, &halls, now)).collect()
+    let mut allocations = node.allocations.lock();
+    runners.iter().map(|(runner, rate)| allocations.look(runner, *rate, &halls, now)).collect()
 }
 
 /// What several runners take together: the soonest of all, and the sum of their parts.
-fn sum_up(outlooks: &[Outlook]) -> Option<Outlook> {
+fn sum_outlooks(outlooks: &[Outlook]) -> Option<Outlook> {
     let wait = outlooks.iter().map(|outlook| outlook.wait).min()?;
     Some(Outlook { wait, part: Rate(outlooks.iter().map(|outlook| outlook.part.0).sum()) })
 }
 
 /// The groups of a choice whose heads name a rate.
 #[derive(Default)]
-pub(crate) struct Limited {
+pub(crate) struct LimitedGroups {
     /// Those that get no request at present, and for how long.
-    pub(crate) spent: Vec<(Epoch, Millis)>,
+    pub(crate) exhausted: Vec<(Epoch, Millis)>,
     /// What all of them take together.
     outlook: Option<Outlook>,
 }
 
 /// As the collector, the groups whose heads name a rate.
-pub(crate) fn list_limited(node: &Node, heads: &[&Runner], now: Millis) -> Limited {
+pub(crate) fn list_limited(node: &Node, heads: &[&Runner], now: Millis) -> LimitedGroups {
     let (epochs, runners): (Vec<Epoch>, Vec<(id::Runner, Rate)>) = {
         let throttles = &node.feedback.lock().throttles;
         let limited = heads.iter().filter_map(|head| {
@@ -160,19 +160,19 @@
         limited.unzip()
     };
     if runners.is_empty() {
-        return Limited::default();
+        return LimitedGroups::default();
     }
-    let outlooks = look(node, &runners, now);
+    let outlooks = list_outlooks(node, &runners, now);
     let waits = epochs.into_iter().zip(outlooks.iter().map(|outlook| outlook.wait));
-    let spent = waits.filter(|(_, wait)| *wait > Millis(0)).collect();
-    Limited { spent, outlook: sum_up(&outlooks) }
+    let exhausted = waits.filter(|(_, wait)| *wait > Millis(0)).collect();
+    LimitedGroups { exhausted, outlook: sum_outlooks(&outlooks) }
 }
 
 /// When a caller for whom there is no place comes back.
-pub(crate) fn plan_return(
+pub(crate) fn plan_retry(
     node: &Node,
     question: &Question,
-    limited: &Limited,
+    limited: &LimitedGroups,
     now: Millis,
 ) -> Option<Millis> {
     let outlook = limited.outlook?;
@@ -183,80 +183,83 @@
 
 /// As the collector, counts a choice at the head that it fell on, and at the one that would be
 /// best but for its rate.
-pub(crate) fn note_choice(node: &Node, heads: &[&Runner], reply: Reply, best: Option<Epoch>, now: Millis) {
+pub(crate) fn record_choice(node: &Node, heads: &[&Runner], reply: Reply, best: Option<Epoch>, now: Millis) {
     let throttles = &node.feedback.lock().throttles;
-    let find = |epoch: Epoch| {
-        let is_meant = |head: &&&Runner| head.membership.as_ref().is_some_and(|place| place.epoch == epoch);
-        let head = heads.iter().find(is_meant)?;
+    let find_limited = |epoch: Epoch| {
+        let is_in_group =
+            |head: &&&Runner| head.membership.as_ref().is_some_and(|place| place.epoch == epoch);
+        let head = heads.iter().find(is_in_group)?;
         throttles.find(&head.id, head.incarnation).map(|_| &head.id)
     };
-    let mut rations = node.allocations.lock();
-    if let Some(best) = best.and_then(find) {
-        rations.want(best, now);
+    let mut allocations = node.allocations.lock();
+    if let Some(best) = best.and_then(find_limited) {
+        allocations.want(best, now);
     }
     if let Reply::Take(promise) = reply
-        && let Some(taken) = find(promise.epoch)
+        && let Some(taken) = find_limited(promise.epoch)
     {
-        rations.take(taken);
+        allocations.take(taken);
     }
 }
 
 /// As the collector, gives a place at one of these runners.
-pub(crate) fn give_place(node: &Node, plea: &Plea) -> Place {
-    take_claims(node, &plea.claims);
+pub(crate) fn grant_permit(node: &Node, query: &Query) -> Permit {
+    receive_rates(node, &query.claims);
     let now = node.now();
     let runners: Vec<(id::Runner, Rate)> = {
         let throttles = &node.feedback.lock().throttles;
-        let limited = plea
+        let limited = query
             .claims
             .iter()
             .filter_map(|told| Some((told.runner.clone(), throttles.find(&told.runner, told.life)?)));
         limited.collect()
     };
     if runners.is_empty() {
-        let (said, known) = (node.feedback.lock(), |claim: &&Claim| plea.names(&claim.runner));
-        return Place::Free(said.throttles.iter().filter(known).map(|claim| claim.tell(now)).collect());
+        let (feedback, is_asked) = (node.feedback.lock(), |claim: &&Claim| query.includes(&claim.runner));
+        return Permit::Free(
+            feedback.throttles.iter().filter(is_asked).map(|claim| claim.tell(now)).collect(),
+        );
     }
-    let outlooks = look(node, &runners, now);
-    let mut rations = node.allocations.lock();
+    let outlooks = list_outlooks(node, &runners, now);
+    let mut allocations = node.allocations.lock();
     for (runner, _) in &runners {
-        rations.want(runner, now);
+        allocations.want(runner, now);
     }
-    let open = runners.iter().zip(&outlooks).find(|(_, outlook)| outlook.wait == Millis(0));
-    if let Some(((runner, _), _)) = open {
-        rations.take(runner);
-        return Place::Take(runner.clone());
+    let available = runners.iter().zip(&outlooks).find(|(_, outlook)| outlook.wait == Millis(0));
+    if let Some(((runner, _), _)) = available {
+        allocations.take(runner);
+        return Permit::Take(runner.clone());
     }
-    let wait = sum_up(&outlooks).map(|all| match plea.refused {
+    let wait = sum_outlooks(&outlooks).map(|total| match query.refused {
         true => {
-            let caller = Caller { service: &plea.service, model: None, patience: plea.patience };
-            node.retry_schedule.lock().plan(&caller, all, now)
+            let caller = Caller { service: &query.service, model: None, patience: query.patience };
+            node.retry_schedule.lock().plan(&caller, total, now)
         }
         // Nobody comes back for it: its request goes to another runner.
-        false => all.wait,
+        false => total.wait,
     });
-    Place::Wait(wait.unwrap_or_default())
+    Permit::Wait(wait.unwrap_or_default())
 }
 
 /// Asks the collector for a place at a runner that names a rate; none if no such runner can take
 /// the request, or nobody answers.
-pub(crate) async fn ask(node: &Arc<Node>, job: &Job, tried: &[id::Runner]) -> Option<Place> {
+pub(crate) async fn query_permit(node: &Arc<Node>, job: &Job, tried: &[id::Runner]) -> Option<Permit> {
     let runners = list_throttled(node, job, tried);
     if runners.is_empty() {
         return None;
     }
     let claims = {
-        let (said, now) = (node.feedback.lock(), node.now());
-        let asked = |claim: &&Claim| runners.iter().any(|(id, _)| *id == claim.runner);
-        said.throttles.iter().filter(asked).map(|claim| claim.tell(now)).collect()
+        let (feedback, now) = (node.feedback.lock(), node.now());
+        let is_candidate = |claim: &&Claim| runners.iter().any(|(id, _)| *id == claim.runner);
+        feedback.throttles.iter().filter(is_candidate).map(|claim| claim.tell(now)).collect()
     };
     let (refused, patience) = (!has_free(node, job, tried), job.patience(node.now()));
-    let plea = Plea { service: job.service.clone(), refused, patience, claims };
+    let query = Query { service: job.service.clone(), refused, patience, claims };
     let collector = find_asked(node)?;
     if collector.node == node.settings().node {
-        return Some(give_place(node, &plea));
+        return Some(grant_permit(node, &query));
     }
-    match peer::ask_place(node, &collector, &plea, ANSWER).await {
+    match peer::query_permit(node, &collector, &query, ANSWER).await {
         Ok(place) => Some(place),
         Err(error) => {
             log::info!("request {}: {} gives no place: {error}", job.id(), collector.node);
@@ -267,11 +270,11 @@
 }
 
 /// The runner that names a rate and gets a request from this node without asking, if one does.
-pub(crate) fn take_alone(node: &Node, job: &Job, tried: &[id::Runner]) -> Option<id::Runner> {
+pub(crate) fn pick_without_collector(node: &Node, job: &Job, tried: &[id::Runner]) -> Option<id::Runner> {
     let runners = list_throttled(node, job, tried);
     let (nodes, now) = (node.directory.lock().count(), node.now());
-    let mut alone = node.fallback_limits.lock();
-    let taken = runners.into_iter().find(|(id, rate)| alone.take(id, *rate, nodes, now, &mut rand::rng()));
+    let mut limits = node.fallback_limits.lock();
+    let taken = runners.into_iter().find(|(id, rate)| limits.take(id, *rate, nodes, now, &mut rand::rng()));
     taken.map(|(id, _)| id)
 }
 
--- a/crates/node/tests/fleet.rs
+++ b/crates/node/tests/fleet.rs
@@ -12,7 +12,7 @@
 use cottoncrank_fleet::probe::Observation;
 use cottoncrank_fleet::runner::Epoch;
 use cottoncrank_net::client::{CallError, Client, Traffic};
-use cottoncrank_node::peer::{self, Ask, AskError};
+use cottoncrank_node::peer::{self, ChangeQuery, PollError};
 use cottoncrank_platform::order::{self, Reply};
 use cottoncrank_platform_standin::caller::ask;
 use cottoncrank_platform_standin::operator::{STREAM, config};
@@ -170,16 +170,16 @@
     let client = Client::new(Traffic::default());
     let address = fleet.nodes[0].node.settings().peers;
     // It would wait for a change for longer than the test is run for.
-    let question = Ask { after: Some(Position::new(Era(u64::MAX), 0)), wait_ms: 3_600_000 };
-    let asking = tokio::spawn(async move { peer::ask(&client, address, question).await });
+    let question = ChangeQuery { after: Some(Position::new(Era(u64::MAX), 0)), wait_ms: 3_600_000 };
+    let asking = tokio::spawn(async move { peer::poll_changes(&client, address, question).await });
     fleet.store.set_fault(store::Fault::Busy);
     let told = asking.await.unwrap();
-    assert!(matches!(told, Err(AskError::Call(CallError::Status { .. }))), "{told:?}");
+    assert!(matches!(told, Err(PollError::Call(CallError::Status { .. }))), "{told:?}");
     fleet.store.set_fault(store::Fault::None);
     let client = Client::new(Traffic::default());
-    let question = Ask { after: None, wait_ms: 0 };
+    let question = ChangeQuery { after: None, wait_ms: 0 };
     for _ in 0..500 {
-        if peer::ask(&client, address, question).await.is_ok_and(|told| told.whole) {
+        if peer::poll_changes(&client, address, question).await.is_ok_and(|told| told.whole) {
             return;
         }
         tokio::time::sleep(Millis(20).duration()).await;
