--- a/crates/node/src/crash.rs
+++ b/crates/node/src/crash.rs
@@ -21,32 +21,32 @@
 
 /// What was found out of a runner holds for this long: all requests that broke off there do
 /// so within some milliseconds, and a new life takes seconds to start.
-const HOLDS: Millis = Millis(500);
+const FINDING_TTL: Millis = Millis(500);
 
 /// How long the question which runner answers may take; it does so within milliseconds.
-const ANSWER: Millis = Millis(150);
+const PROBE_TIMEOUT: Millis = Millis(150);
 
 /// A connection that was broken off at once was so within this; one that is not made in time
 /// takes longer to show.
-const REFUSES: Millis = Millis(60);
+const EARLY_CLOSE_MAX: Millis = Millis(60);
 
-/// The pause before a runner is asked again that breaks connections off, and how often it is
-/// asked. Without that, the end of a process that closes its connections before its port does not
+/// The pause before a runner is started again that breaks connections off, and how often it is
+/// started. Without that, the end of a process that closes its connections before its port does not
 /// count, and the request is let run a fourth time.
-const ENDING: Millis = Millis(40);
-const ENDING_TRIES: usize = 3;
+const PROBE_PAUSE: Millis = Millis(40);
+const MAX_PROBES: usize = 3;
 
-/// A runner of which nothing could be said is asked again after these pauses: one that ended
+/// A runner of which nothing could be said is started again after these pauses: one that ended
 /// is back after some seconds, and its entry may take longer, or the store be away.
-const AGAIN: [Millis; 4] = [Millis(500), Millis(1000), Millis(1500), Millis(2000)];
+const FOLLOW_UP_PAUSES: [Millis; 4] = [Millis(500), Millis(1000), Millis(1500), Millis(2000)];
 
 /// What became of a runner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Finding {
     /// Its process has ended without notice.
-    Ended,
+    Crashed,
     /// It lives, or has ended as it had announced: what broke was the connection.
-    Sound,
+    Alive,
     /// Nothing can be said: the way there may be cut.
     Unknown,
 }
@@ -55,24 +55,24 @@
     /// The finding as logs and figures name it.
     fn name(self) -> &'static str {
         match self {
-            Finding::Ended => "ended",
-            Finding::Sound => "sound",
+            Finding::Crashed => "ended",
+            Finding::Alive => "sound",
             Finding::Unknown => "unknown",
         }
     }
 }
 
 /// A finding, made once for all requests that broke off there.
-type Shared = Arc<OnceCell<Finding>>;
+type SharedFinding = Arc<OnceCell<Finding>>;
 
 /// What was lately found out of runners.
 #[derive(Debug, Default)]
-pub(crate) struct Findings(HashMap<id::Runner, (Millis, Shared)>);
+pub(crate) struct Findings(HashMap<id::Runner, (Millis, SharedFinding)>);
 
 impl Findings {
-    fn share(&mut self, id: &id::Runner, now: Millis) -> Shared {
-        self.0.retain(|_, (begun, _)| now < *begun + HOLDS);
-        self.0.entry(id.clone()).or_insert_with(|| (now, Shared::default())).1.clone()
+    fn get_or_start(&mut self, id: &id::Runner, now: Millis) -> SharedFinding {
+        self.0.retain(|_, (started, _)| now < *started + FINDING_TTL);
+        self.0.entry(id.clone()).or_insert_with(|| (now, SharedFinding::default())).1.clone()
     }
 }
 
@@ -83,12 +83,12 @@
     match error {
         AttemptError::Broken(_) => {
             let (request, node, pick) = (job.id().to_owned(), node.clone(), pick.clone());
-            let examining = tokio::spawn(async move { judge(&node, &request, &pick, row).await });
-            if let Err(error) = examining.await {
+            let task = tokio::spawn(async move { resolve(&node, &request, &pick, row).await });
+            if let Err(error) = task.await {
                 log::error!("request {}: what became of its runner is not known: {error}", job.id());
             }
         }
-        AttemptError::Silent(_) => note_break(node, pick, row),
+        AttemptError::Silent(_) => record_interruption(node, pick, row),
         AttemptError::Unreached(_)
         | AttemptError::NotRun(_)
         | AttemptError::Full(_)
@@ -97,8 +97,8 @@
     }
 }
 
-async fn judge(node: &Arc<Node>, request: &str, pick: &Pick, row: Row) {
-    let finding = examine(node, pick).await;
+async fn resolve(node: &Arc<Node>, request: &str, pick: &Pick, row: Row) {
+    let finding = find_shared(node, pick).await;
     let life = pick.life.map_or("-".to_owned(), |life| life.to_string());
     log::info!(
         "request {request}: {} in life {life} is found {} after a try broke off there, fingerprint {}",
@@ -107,13 +107,13 @@
         row.fingerprint
     );
     match finding {
-        Finding::Ended => suspects::merge_rows(node, &[row], Origin::Hall),
-        Finding::Sound => {}
-        Finding::Unknown => note_break(node, pick, row),
+        Finding::Crashed => suspects::merge_rows(node, &[row], Origin::Hall),
+        Finding::Alive => {}
+        Finding::Unknown => record_interruption(node, pick, row),
     }
 }
 
-fn note_break(node: &Node, pick: &Pick, row: Row) {
+fn record_interruption(node: &Node, pick: &Pick, row: Row) {
     let (runner, life, address) = (pick.id.clone(), pick.life, pick.address);
     node.interruptions.lock().record(Interruption {
         row,
@@ -125,33 +125,33 @@
 }
 
 /// Finds out what became of the runner of a try that broke off.
-async fn examine(node: &Arc<Node>, pick: &Pick) -> Finding {
-    let shared = node.findings.lock().share(&pick.id, node.now());
-    *shared.get_or_init(|| look(node, pick)).await
+async fn find_shared(node: &Arc<Node>, pick: &Pick) -> Finding {
+    let shared = node.findings.lock().get_or_start(&pick.id, node.now());
+    *shared.get_or_init(|| probe_and_follow(node, pick)).await
 }
 
-async fn look(node: &Arc<Node>, pick: &Pick) -> Finding {
+async fn probe_and_follow(node: &Arc<Node>, pick: &Pick) -> Finding {
     let finding = match is_leaving(node, pick) {
-        true => Finding::Sound,
-        false => ask(node, pick).await,
+        true => Finding::Alive,
+        false => probe(node, pick).await,
     };
     telemetry::count_finding(finding.name());
     if finding == Finding::Unknown {
-        tokio::spawn(follow(node.clone(), pick.clone()));
+        tokio::spawn(follow_up(node.clone(), pick.clone()));
     }
     finding
 }
 
 /// Asks a runner again of which nothing could be said.
-async fn follow(node: Arc<Node>, pick: Pick) {
-    for pause in AGAIN {
+async fn follow_up(node: Arc<Node>, pick: Pick) {
+    for pause in FOLLOW_UP_PAUSES {
         tokio::time::sleep(pause.duration()).await;
-        let finding = ask(&node, &pick).await;
+        let finding = probe(&node, &pick).await;
         if finding == Finding::Unknown {
             continue;
         }
         let rows = node.interruptions.lock().take_crashed(&pick.id, pick.life, node.now());
-        if finding == Finding::Ended && !rows.is_empty() {
+        if finding == Finding::Crashed && !rows.is_empty() {
             log::info!("crash: {} has ended under {} requests", pick.id, rows.len());
             suspects::merge_rows(&node, &rows, Origin::Hall);
         }
@@ -166,32 +166,32 @@
 
 /// Asks a runner what became of it. One that takes a connection and breaks it off at once is
 /// about to end, or has ended while this was under way: its connections close before its port.
-async fn ask(node: &Node, pick: &Pick) -> Finding {
-    for _ in 1..ENDING_TRIES {
-        let asked = node.now();
-        match ask_once(node, pick).await {
-            Finding::Unknown if node.now().since(asked) < ANSWER.min(REFUSES) => {
-                tokio::time::sleep(ENDING.duration()).await;
+async fn probe(node: &Node, pick: &Pick) -> Finding {
+    for _ in 1..MAX_PROBES {
+        let started = node.now();
+        match probe_once(node, pick).await {
+            Finding::Unknown if node.now().since(started) < PROBE_TIMEOUT.min(EARLY_CLOSE_MAX) => {
+                tokio::time::sleep(PROBE_PAUSE.duration()).await;
             }
             finding => return finding,
         }
     }
-    ask_once(node, pick).await
+    probe_once(node, pick).await
 }
 
-async fn ask_once(node: &Node, pick: &Pick) -> Finding {
+async fn probe_once(node: &Node, pick: &Pick) -> Finding {
     match Channel::open(pick.address).await {
         Ok(_) => {}
         Err(ChannelError::Connect(error)) if error.kind() == ErrorKind::ConnectionRefused => {
-            return Finding::Ended;
+            return Finding::Crashed;
         }
         Err(_) => return Finding::Unknown,
     }
-    let probed = order::probe(&node.client, pick.address, &pick.id, ANSWER).await;
-    match probed.reported {
-        Observation::Gone => Finding::Ended,
-        Observation::Pace(_) if is_later(probed.life, pick.life) => Finding::Ended,
-        Observation::Pace(_) => Finding::Sound,
+    let answer = order::probe(&node.client, pick.address, &pick.id, PROBE_TIMEOUT).await;
+    match answer.reported {
+        Observation::Gone => Finding::Crashed,
+        Observation::Pace(_) if is_later(answer.life, pick.life) => Finding::Crashed,
+        Observation::Pace(_) => Finding::Alive,
         Observation::Silent => Finding::Unknown,
     }
 }
--- a/crates/node/src/log.rs
+++ b/crates/node/src/log.rs
@@ -16,21 +16,21 @@
 use parking_lot::Mutex;
 
 /// Lines that wait to be written: a second's worth at the allowed rate.
-const QUEUE: usize = 512;
+const QUEUE_LINES: usize = 512;
 
 /// How long the end of the process waits for the last lines: an output that takes
 /// them does so at once, and one that is blocked must not use up the grace.
-const FLUSH: Millis = Millis(200);
+const FLUSH_TIMEOUT: Millis = Millis(200);
 
 /// Notices allowed in a second: several times what a node writes while much fails.
-const NOTICES: u32 = 300;
+const MAX_NOTICES: u32 = 300;
 
 /// Warnings and errors allowed in a second, beside the notices.
-const WARNINGS: u32 = 200;
+const MAX_WARNINGS: u32 = 200;
 
 /// What is counted over a second.
 #[derive(Default)]
-struct Second {
+struct Window {
     start: Millis,
     notices: u32,
     warnings: u32,
@@ -38,20 +38,20 @@
 
 /// Lines allowed in each second.
 #[derive(Default)]
-pub struct Quota(Second);
+pub struct Quota(Window);
 
 impl Quota {
     /// Whether a line of this level may be written at `now`.
     pub fn allows(&mut self, level: Level, now: Millis) -> bool {
         if now >= self.0.start + Millis(1000) {
-            self.0 = Second { start: now, ..Second::default() };
+            self.0 = Window { start: now, ..Window::default() };
         }
-        let (count, most) = match level {
-            Level::Error | Level::Warn => (&mut self.0.warnings, WARNINGS),
-            Level::Info | Level::Debug | Level::Trace => (&mut self.0.notices, NOTICES),
+        let (count, max) = match level {
+            Level::Error | Level::Warn => (&mut self.0.warnings, MAX_WARNINGS),
+            Level::Info | Level::Debug | Level::Trace => (&mut self.0.notices, MAX_NOTICES),
         };
         *count += 1;
-        *count <= most
+        *count <= max
     }
 }
 
@@ -68,7 +68,7 @@
     lines: SyncSender<Entry>,
     quota: Mutex<Quota>,
     clock: System,
-    left_out: AtomicU64,
+    dropped: AtomicU64,
 }
 
 /// Starts the log on standard output. `RUST_LOG` goes before the level given.
@@ -82,17 +82,17 @@
 fn write_lines(entries: &Receiver<Entry>, mut out: impl Write) {
     while let Ok(first) = entries.recv() {
         let mut bytes = Vec::new();
-        let mut told = Vec::new();
+        let mut flushes = Vec::new();
         for entry in std::iter::once(first).chain(entries.try_iter()) {
             match entry {
                 Entry::Line(line) => bytes.extend_from_slice(&line),
-                Entry::Flush(waiting) => told.push(waiting),
+                Entry::Flush(done) => flushes.push(done),
             }
         }
         let _ = out.write_all(&bytes).and_then(|()| out.flush());
-        for waiting in told {
+        for done in flushes {
             // Whoever waited may have given up.
-            let _ = waiting.try_send(());
+            let _ = done.try_send(());
         }
     }
 }
@@ -100,23 +100,23 @@
 impl Queue {
     /// Starts the thread that writes to `out`.
     pub fn start(out: impl Write + Send + 'static) -> std::io::Result<Queue> {
-        let (lines, entries) = sync_channel(QUEUE);
+        let (lines, entries) = sync_channel(QUEUE_LINES);
         std::thread::Builder::new()
             .name("log".into())
             .stack_size(64 * 1024)
             .spawn(move || write_lines(&entries, out))?;
-        Ok(Queue { lines, quota: Mutex::default(), clock: System::new(), left_out: AtomicU64::new(0) })
+        Ok(Queue { lines, quota: Mutex::default(), clock: System::new(), dropped: AtomicU64::new(0) })
     }
 
     fn push(&self, line: Vec<u8>) {
         match self.lines.try_send(Entry::Line(line)) {
             Ok(()) => {}
-            Err(TrySendError::Full(_) | TrySendError::Disconnected(_)) => self.count_left_out(),
+            Err(TrySendError::Full(_) | TrySendError::Disconnected(_)) => self.count_dropped(),
         }
     }
 
-    fn count_left_out(&self) {
-        self.left_out.fetch_add(1, Ordering::Relaxed);
+    fn count_dropped(&self) {
+        self.dropped.fetch_add(1, Ordering::Relaxed);
         metrics::counter!("cottoncrank_log_lines_left_out").increment(1);
     }
 }
@@ -124,24 +124,24 @@
 impl LogWriter for Queue {
     fn write(&self, now: &mut DeferredNow, record: &Record) -> std::io::Result<()> {
         if !self.quota.lock().allows(record.level(), self.clock.now()) {
-            self.count_left_out();
+            self.count_dropped();
             return Ok(());
         }
         let time = now.format("%Y-%m-%dT%H:%M:%S%.3f");
-        let left_out = self.left_out.swap(0, Ordering::Relaxed);
-        if left_out > 0 {
-            self.push(format!("{time} WARN  log: {left_out} lines were left out\n").into_bytes());
+        let dropped = self.dropped.swap(0, Ordering::Relaxed);
+        if dropped > 0 {
+            self.push(format!("{time} WARN  log: {dropped} lines were left out\n").into_bytes());
         }
         self.push(format!("{time} {:5} {}\n", record.level(), record.args()).into_bytes());
         Ok(())
     }
 
-    /// Waits until what was logged so far is written, for [`FLUSH`] at most: the
+    /// Waits until what was logged so far is written, for [`FLUSH_TIMEOUT`] at most: the
     /// process is about to end, and the thread ends with it.
     fn flush(&self) -> std::io::Result<()> {
-        let (told, waiting) = sync_channel(1);
-        let sent = self.lines.try_send(Entry::Flush(told));
-        match sent.is_ok() && waiting.recv_timeout(FLUSH.duration()).is_ok() {
+        let (done, done_receiver) = sync_channel(1);
+        let sent = self.lines.try_send(Entry::Flush(done));
+        match sent.is_ok() && done_receiver.recv_timeout(FLUSH_TIMEOUT.duration()).is_ok() {
             true => Ok(()),
             false => Err(std::io::ErrorKind::TimedOut.into()),
         }
--- a/crates/node/src/program.rs
+++ b/crates/node/src/program.rs
@@ -65,10 +65,10 @@
 /// Shows the figures. A node without them serves all the same.
 async fn serve_metrics(node: &Arc<Node>) {
     let address = SocketAddr::new(node.settings().peers.ip(), telemetry::PORT);
-    let (Some(handle), listener) = (telemetry::install(), TcpListener::bind(address).await) else {
+    let (Some(handle), bound) = (telemetry::install(), TcpListener::bind(address).await) else {
         return;
     };
-    match listener {
+    match bound {
         Ok(listener) => {
             tokio::spawn(telemetry::sample_gauges(node.clone()));
             tokio::spawn(telemetry::serve(listener, handle));
