--- a/crates/node/src/program.rs
+++ b/crates/node/src/program.rs
@@ -65,9 +65,7 @@
 /// Shows the figures. A node without them serves all the same.
 async fn serve_metrics(node: &Arc<Node>) {
     let address = SocketAddr::new(node.settings().peers.ip(), telemetry::PORT);
-    let (Some(handle), bound) = (telemetry::install(), TcpListener::bind(address).await) else {
-        return;
-    };
+    let (Some(handle), bound) = (telemetry::install(), TcpListener::bind(address).await) else { return };
     match bound {
         Ok(listener) => {
             tokio::spawn(telemetry::sample_gauges(node.clone()));
--- a/crates/node/src/state.rs
+++ b/crates/node/src/state.rs
@@ -1,4 +1,4 @@
-//! What a node knows, each part under its own lock.
+//! The state of a node. Each part has its own lock.
 
 use std::collections::{BTreeSet, HashMap};
 use std::fmt::Display;
@@ -45,111 +45,111 @@
 use crate::telemetry;
 use crate::unreadable::{Part, Unreadable};
 
-/// The node that holds the lease for deciding.
+/// The decider lease, as the store last had it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DeciderLease {
-    /// Where the lease's key was last written.
+    /// The store position at which the lease's key was last written.
     pub position: Position,
-    /// Whether the key goes with a lease. One that does not is no deciding node's: each
-    /// writes it with the lease that it holds.
+    /// Whether the key is bound to a lease of the store. A decider always writes the key with the
+    /// lease that it holds, so a key without one belongs to no decider.
     pub leased: bool,
-    /// The node; none if its name cannot be read.
+    /// The node that holds the lease, or `None` if its name is invalid.
     pub node: Option<id::Node>,
 }
 
-/// A node.
+/// The state that the tasks of a node share.
 pub struct Node {
-    /// Its settings, as last read.
+    /// The settings as last read.
     settings: Mutex<Arc<Settings>>,
-    /// The platform's store.
+    /// The client of the platform's store.
     pub store: Store,
-    /// Its clock.
+    /// The clock, which also counts the time that the box was suspended.
     pub clock: System,
-    /// The operators' configuration, once it is known.
+    /// The operators' configuration, once it has been received.
     pub catalog: Mutex<Option<Arc<Catalog>>>,
-    /// What is proven of the configuration's age.
+    /// The proof of freshness of the configuration.
     pub freshness: Mutex<Freshness>,
-    /// Up to when this node surely knows all that the store held, as far as it can tell.
+    /// The latest time up to which this node knows every change of the store, by its own estimate.
     pub last_contact: watch::Sender<Option<Millis>>,
-    /// What the store holds, for other nodes.
+    /// The content of the store, kept for the nodes that poll this one.
     pub feed: Feed,
-    /// The nodes.
+    /// The known nodes and their addresses.
     pub directory: Mutex<Directory>,
-    /// As the collector of its hall, which of them it hears of.
+    /// As the collector of its hall, which nodes send in-flight reports.
     pub(crate) presence: Mutex<Presence>,
-    /// Told when this node's own entry is gone from the store.
+    /// Notified when this node's own entry is removed from the store.
     pub(crate) entry_gone: Notify,
-    /// The runners.
+    /// The known runners.
     pub roster: Mutex<Roster>,
-    /// The plans of the groups, as the store tells.
+    /// The domain plans, as the store has them.
     pub plans: Mutex<Plans>,
-    /// Since when groups stand still, as far as this node has read it.
+    /// Since when retired groups are stalled, by the plans that this node has read.
     pub stalls: Mutex<Stalls>,
-    /// Rises whenever a plan changes.
+    /// Counts the changes of plans.
     pub plans_changed: watch::Sender<u64>,
-    /// Items that could not be read, as far as the log tells of them.
+    /// Invalid items of the store that were logged lately.
     pub(crate) invalid_items: Mutex<Unreadable>,
-    /// What was seen of the runners.
+    /// What this node observed of each runner: requests in flight, failures, rejections.
     pub ledger: Mutex<Ledger>,
-    /// What runners have said of themselves.
+    /// What runners reported about themselves in answers.
     pub(crate) feedback: Mutex<Said>,
-    /// Runners that turn requests away, as nodes tell each other.
+    /// Rejecting runners, as the nodes report them to each other.
     pub(crate) refusals: Mutex<refusals::Table>,
-    /// As the collector of its hall, what the hall may send to runners that name a rate.
+    /// As the collector of its hall, the hall's shares of the rates of rate-limited runners.
     pub(crate) allocations: Mutex<Rations>,
-    /// As the collector, when callers that found no place with them come back.
+    /// As the collector, when callers that got no permit for such runners are to retry.
     pub(crate) retry_schedule: Mutex<Returns>,
-    /// What this node may send them while no collector answers.
+    /// The requests that this node may send to such runners while no collector answers.
     pub(crate) fallback_limits: Mutex<Alone>,
-    /// What the others have in flight, as this node was last told.
+    /// The in-flight requests of the other nodes, as last received.
     pub fleet_load: Mutex<View>,
-    /// As the collector of its hall, chooses groups for requests.
+    /// As the collector of its hall, picks groups for requests.
     pub dispatcher: Mutex<Dispatcher>,
-    /// First events that the collector was not told of yet.
+    /// First-event delays that have not been sent to the collector yet.
     pub(crate) unsent_samples: Mutex<Vec<Sample>>,
-    /// Collectors that did not answer when told what is in flight.
+    /// Collectors that did not answer an in-flight report. They are avoided for a while.
     pub(crate) unreachable_for_reports: Mutex<Avoided>,
-    /// Collectors that did not answer a question for a group.
+    /// Collectors that did not answer a query. They are avoided for a while.
     pub(crate) unreachable_for_queries: Mutex<Avoided>,
-    /// Requests that end runners, as far as this node knows.
+    /// The evidence about requests that crash the runners that execute them.
     pub suspects: Mutex<Table>,
-    /// Up to where other nodes were told of them.
+    /// How much of that evidence each other node already has.
     pub(crate) gossip_peers: Mutex<Peers>,
-    /// How many groups or runners there usually are for requests.
+    /// The usual number of groups or runners that can take a request.
     pub(crate) trial_baseline: Mutex<Baseline>,
-    /// Runs of suspected requests that this node has let begin.
+    /// The trial runs of suspected requests that this node has started.
     pub(crate) trials: Mutex<Trials>,
-    /// Tries that broke off at runners of which nothing could be found out.
+    /// Interrupted attempts at runners of which it is not known whether they crashed.
     pub(crate) interruptions: Mutex<Interruptions>,
-    /// Rises whenever the process did not run for a while.
+    /// Counts the suspensions of this process.
     pub(crate) resumed: watch::Sender<u64>,
-    /// Rises whenever a request is found to end runners.
+    /// Counts the requests that were found to be deadly.
     pub(crate) deadly_found: watch::Sender<u64>,
-    /// Tells this process from others of the same node.
+    /// Distinguishes this process from earlier ones of the same node.
     pub(crate) instance: u64,
-    /// What became of runners whose connections broke.
+    /// Whether runners whose connections broke have crashed.
     pub(crate) findings: Mutex<Findings>,
-    /// Asks other nodes for groups.
+    /// The client for queries to other nodes.
     pub(crate) client: Client,
-    /// Told when a request at a runner ended.
+    /// Notified when a request at a runner ends.
     pub(crate) flight_ended: Notify,
-    /// What nodes have told this one that they have in flight.
+    /// The in-flight reports of other nodes.
     pub reports: Mutex<occupancy::Table>,
-    /// How many requests may be under way, by service and model.
+    /// The concurrency limits by model key.
     pub concurrency_limits: Mutex<HashMap<Lane, Limit>>,
-    /// Told when a request ended, and another one may begin.
+    /// Notified when a request ends, so that a waiting one may be admitted.
     pub request_ended: Notify,
-    /// Pays for requests that are sent again.
+    /// The retries that this node may spend by itself.
     pub retry_budget: Mutex<Budget>,
-    /// As the collector, the retries that it lends.
+    /// As the collector, the shared retry pool of the hall.
     pub(crate) retry_pool: Mutex<Pool>,
-    /// Who decides, as the store tells, if anyone does.
+    /// The decider lease as the store has it, if it is held.
     pub decider: watch::Sender<Option<DeciderLease>>,
-    /// Told when runners or configuration have changed.
+    /// Notified when the runners or the configuration change.
     pub fleet_changed: Notify,
-    /// Whether the node is about to stop.
+    /// Whether the node is draining before it stops.
     pub draining: watch::Sender<bool>,
-    /// Whether the node takes no requests any more.
+    /// Whether the node has stopped accepting requests.
     pub closed: watch::Sender<bool>,
     synced: watch::Sender<bool>,
     deciding: AtomicBool,
@@ -158,7 +158,7 @@
 }
 
 impl Node {
-    /// A node that knows nothing yet.
+    /// Returns a node that has not read the store yet.
     pub fn new(settings: Settings) -> Arc<Node> {
         Arc::new(Node {
             store: Store::new(settings.store),
@@ -214,202 +214,211 @@
         })
     }
 
-    /// The settings, as last read.
+    /// Returns the settings as last read.
     pub fn settings(&self) -> Arc<Settings> {
         self.settings.lock().clone()
     }
 
-    /// Takes settings that were read anew.
+    /// Replaces the settings after a reload.
     pub fn set_settings(&self, settings: Settings) {
         *self.settings.lock() = Arc::new(settings);
         retries::take_share(self);
     }
 
-    /// The time.
+    /// Returns the current time of the node's clock.
     pub fn now(&self) -> Millis {
         self.clock.now()
     }
 
-    /// Waits for a point in time. A timer alone would be late by as long as the box was
-    /// suspended.
+    /// Waits for a point in time. Timers do not count a suspension of the box, so a timer alone would
+    /// be late by the length of the suspension.
     pub async fn wait_until(&self, end: Millis) {
-        let mut woken = self.resumed.subscribe();
+        let mut resumed = self.resumed.subscribe();
         loop {
-            let left = end.since(self.now());
-            if left == Millis(0) {
+            let remaining = end.since(self.now());
+            if remaining == Millis(0) {
                 return;
             }
-            // Either way the clock is looked at again.
-            let _ = tokio::time::timeout(left.duration(), woken.changed()).await;
+            // The loop checks the clock again in either case.
+            let _ = tokio::time::timeout(remaining.duration(), resumed.changed()).await;
         }
     }
 
-    /// Whether the store has been read whole once.
+    /// Whether the whole store has been read once.
     pub fn is_synced(&self) -> bool {
         *self.synced.borrow()
     }
 
-    /// The store has been read whole.
+    /// Records that the whole store has been read.
     pub fn set_synced(&self) {
         self.synced.send_replace(true);
     }
 
-    /// Waits until the store has been read whole once, for `most` at the most.
-    pub async fn wait_synced(&self, most: Millis) {
+    /// Waits until the whole store has been read once, for at most `timeout`.
+    pub async fn wait_synced(&self, timeout: Millis) {
         if self.is_synced() {
             return;
         }
         let mut synced = self.synced.subscribe();
-        // Either way what is known then decides.
-        let _ = tokio::time::timeout(most.duration(), synced.wait_for(|synced| *synced)).await;
+        // After a timeout, the caller works with what is known by then.
+        let _ = tokio::time::timeout(timeout.duration(), synced.wait_for(|synced| *synced)).await;
     }
 
-    /// Whether this node decides for the fleet.
+    /// Whether this node is the decider.
     pub fn is_deciding(&self) -> bool {
         self.deciding.load(Ordering::Relaxed)
     }
 
-    /// Says whether this node decides for the fleet.
+    /// Records whether this node is the decider.
     pub fn set_deciding(&self, deciding: bool) {
         self.deciding.store(deciding, Ordering::Relaxed);
     }
 
-    /// Whether a caller has sent a request yet.
+    /// Whether a caller has sent a request since the start.
     pub fn is_serving(&self) -> bool {
         self.serving.load(Ordering::Relaxed)
     }
 
-    /// Whether keys of accounts may be honoured now.
+    /// Whether the configuration is fresh enough to accept keys of accounts: a revoked key must be
+    /// rejected within the bound of the settings.
     pub fn trusts_keys(&self) -> bool {
         self.freshness.lock().allows(self.now(), self.settings().bounds.revoke)
     }
 
-    /// Takes a runner's entry in, and notices a new life of it.
+    /// Stores a runner's entry and detects a new incarnation of the runner.
     pub fn insert_runner(&self, runner: Runner) {
-        let (id, life) = (runner.id.clone(), runner.incarnation);
-        let ended = self.interruptions.lock().take_replaced(&id, runner.address, self.now());
-        suspects::merge_rows(self, &ended, Origin::Hall);
-        let notice = self.roster.lock().insert(runner);
-        match (notice, life) {
-            (Update::Restarted, Some(life)) => self.handle_restart(&id, life),
-            (Update::Outdated, Some(life)) => {
+        let (id, incarnation) = (runner.id.clone(), runner.incarnation);
+        let crashed = self.interruptions.lock().take_replaced(&id, runner.address, self.now());
+        suspects::merge_rows(self, &crashed, Origin::Hall);
+        let update = self.roster.lock().insert(runner);
+        match (update, incarnation) {
+            (Update::Restarted, Some(incarnation)) => self.handle_restart(&id, incarnation),
+            (Update::Outdated, Some(incarnation)) => {
                 log::info!(
-                    "roster: an entry of {id} in life {life} is older than what is known and is passed over"
+                    "roster: ignoring an entry of {id}: its incarnation {incarnation} is older than the known one"
                 )
             }
             _ => {}
         }
     }
 
-    /// A runner's entry cannot be read: it is not used any more. Requests that run there
-    /// are not touched.
+    /// Stops using a runner whose entry is invalid. Requests that run there continue.
     pub fn discard_runner(&self, id: &id::Runner) {
         self.roster.lock().discard(id, self.now());
         self.ledger.lock().forget(id);
     }
 
-    /// An item of the store cannot be read.
-    pub(crate) fn report_invalid_item(&self, key: &str, part: Part, reason: &'static str, why: impl Display) {
+    /// Counts an invalid item of the store, and logs it unless it was logged lately.
+    pub(crate) fn report_invalid_item(
+        &self,
+        key: &str,
+        part: Part,
+        reason: &'static str,
+        detail: impl Display,
+    ) {
         telemetry::count_invalid_item(part.name(), reason);
         if self.invalid_items.lock().tells(key, self.now()) {
-            log::error!("store: `{key}` ({}) is not used: {why}", part.name());
+            log::error!("store: `{key}` ({}) is not used: {detail}", part.name());
         }
     }
 
-    /// A runner has said in which life it is.
-    pub fn record_incarnation(&self, id: &id::Runner, life: Incarnation) {
-        if self.roster.lock().record_incarnation(id, life) {
-            self.handle_restart(id, life);
+    /// Records the incarnation that a runner reported.
+    pub fn record_incarnation(&self, id: &id::Runner, incarnation: Incarnation) {
+        if self.roster.lock().record_incarnation(id, incarnation) {
+            self.handle_restart(id, incarnation);
             self.fleet_changed.notify_one();
         }
     }
 
-    /// A runner has said in an answer that it is about to leave.
-    pub(crate) fn record_leaving(&self, id: &id::Runner, life: Option<Incarnation>) {
-        if self.roster.lock().record_leaving(id, life) {
-            log::info!("roster: {id} says that it is about to leave");
+    /// Records that a runner announced in an answer that it is leaving.
+    pub(crate) fn record_leaving(&self, id: &id::Runner, incarnation: Option<Incarnation>) {
+        if self.roster.lock().record_leaving(id, incarnation) {
+            log::info!("roster: {id} announced that it is leaving");
             metrics::counter!("cottoncrank_runners_leaving_total").increment(1);
             self.fleet_changed.notify_one();
         }
     }
 
-    /// Forgets what was seen of a runner's former life.
-    fn handle_restart(&self, id: &id::Runner, life: Incarnation) {
-        log::info!("roster: {id} has started again, its life is now {life}");
+    /// Drops what was observed of a runner's earlier incarnation.
+    fn handle_restart(&self, id: &id::Runner, incarnation: Incarnation) {
+        log::info!("roster: {id} has started again, its incarnation is now {incarnation}");
         metrics::counter!("cottoncrank_runners_restarted_total").increment(1);
         self.ledger.lock().restart(id);
-        let ended = self.interruptions.lock().take_earlier(id, life, self.now());
-        suspects::merge_rows(self, &ended, Origin::Hall);
+        let crashed = self.interruptions.lock().take_earlier(id, incarnation, self.now());
+        suspects::merge_rows(self, &crashed, Origin::Hall);
     }
 
-    /// This node knew all that the store held at `at`.
+    /// Records that this node knows every change of the store up to `at`.
     pub fn record_contact(&self, at: Millis) {
         self.last_contact.send_if_modified(|contact| {
-            let renewed = Some(at) > *contact;
+            let is_later = Some(at) > *contact;
             *contact = (*contact).max(Some(at));
-            renewed
+            is_later
         });
     }
 
-    /// For how long this node may have missed changes of the store.
+    /// Returns how long this node may have missed changes of the store.
     pub fn staleness(&self) -> Option<Millis> {
         self.last_contact.borrow().map(|contact| self.now().since(contact))
     }
 
-    /// Whether the configuration held here is surely one that may be in force. A node that
-    /// may have missed changes for longer cannot say that there is no such route or key: it
-    /// refused routes with 404 that had been accepted 3.7 s before. Contact does not tell:
-    /// what arrives may have been under way for a second, and a watch deaf for another.
+    /// Whether the configuration is proven to be recent enough to still be in force.
+    ///
+    /// A node that may have missed changes for longer must not answer that a route or key does not
+    /// exist: such a node rejected routes with 404 that had been accepted 3.7 s before. The last
+    /// contact is not enough, because what arrives may have been in transit for a second, and a
+    /// watch may have delivered nothing for another second.
     pub fn has_current_catalog(&self) -> bool {
         let bound = self.settings().bounds.apply;
         self.freshness.lock().allows(self.now(), Some(bound))
     }
 
-    /// Whether the node takes callers.
+    /// Whether the node is ready for callers.
     pub fn is_ready(&self) -> bool {
         !*self.draining.borrow() && self.is_synced() && self.catalog.lock().is_some() && self.trusts_keys()
     }
 
-    /// The requests of this node in flight at each group.
+    /// Returns the in-flight requests of this node at each group.
     pub fn sum_in_flight(&self) -> Sum {
         let (roster, ledger) = (self.roster.lock(), self.ledger.lock());
         let busy = ledger.list_busy();
         Sum::of_node(busy.filter_map(|(id, count)| Some((find_epoch(&roster, id)?, count))).collect())
     }
 
-    /// The requests of all nodes in flight at each group, if enough of them tell.
+    /// Returns the in-flight requests of all nodes at each group, if enough of them report.
     pub fn sum_all_in_flight(&self) -> Option<Counts> {
-        let mut own = self.sum_in_flight().counts;
-        let view = self.fleet_load.lock();
-        if !view.is_usable(self.now()) {
+        let mut counts = self.sum_in_flight().counts;
+        let fleet_load = self.fleet_load.lock();
+        if !fleet_load.is_usable(self.now()) {
             return None;
         }
-        for (epoch, count) in view.list() {
-            *own.entry(*epoch).or_default() += count;
+        for (epoch, count) in fleet_load.list() {
+            *counts.entry(*epoch).or_default() += count;
         }
-        Some(own)
+        Some(counts)
     }
 
-    /// The groups that failed a request of this node lately, that do not get on, or whose heads
-    /// want no requests from it: each node of a hall would else have to be turned away once.
+    /// Lists the groups that failed a request of this node lately, that make no progress, or whose
+    /// heads are backing off. The nodes of a hall share this list, because otherwise each of them
+    /// would have to be rejected once.
     pub fn list_doubted(&self) -> Vec<Epoch> {
         let (roster, ledger) = (self.roster.lock(), self.ledger.lock());
-        let said = self.feedback.lock();
-        let doubted = ledger.list_doubted(self.now()).chain(said.backoffs.list(self.now()));
+        let feedback = self.feedback.lock();
+        let doubted = ledger.list_doubted(self.now()).chain(feedback.backoffs.list(self.now()));
         let epochs: BTreeSet<Epoch> = doubted.filter_map(|id| find_epoch(&roster, id)).collect();
         epochs.into_iter().collect()
     }
 
-    /// The groups whose heads want no requests from this node.
+    /// Lists the groups whose heads are backing off or rejecting requests of this node.
     pub(crate) fn list_backing_off(&self) -> Vec<Epoch> {
         let (roster, ledger) = (self.roster.lock(), self.ledger.lock());
-        let said = self.feedback.lock();
-        let unwilling = said.backoffs.list(self.now()).chain(ledger.list_refusing(self.now()));
-        unwilling.filter_map(|id| find_epoch(&roster, id)).collect()
+        let feedback = self.feedback.lock();
+        let backing_off = feedback.backoffs.list(self.now()).chain(ledger.list_refusing(self.now()));
+        backing_off.filter_map(|id| find_epoch(&roster, id)).collect()
     }
 }
 
-/// The forming of the group that a runner is in.
+/// Returns the epoch of the group that a runner is a member of.
 fn find_epoch(roster: &Roster, id: &id::Runner) -> Option<Epoch> {
     Some(roster.get_last_known(id)?.membership.as_ref()?.epoch)
 }
