--- a/crates/node/src/peer.rs
+++ b/crates/node/src/peer.rs
@@ -1,4 +1,5 @@
-//! What nodes ask each other: what the store holds, and what is in flight.
+//! The queries between nodes, both their client and their server: change polls, in-flight reports,
+//! and queries for a group, a permit or a retry.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -32,73 +33,72 @@
 use crate::telemetry;
 use crate::throttle::{self, Permit};
 
-/// The path of the question.
+/// The path of a change poll.
 const CHANGES_PATH: &str = "/news";
 
-/// The path of the question which group takes a request.
+/// The path of the query for the group that takes a request.
 const GROUP_PATH: &str = "/group";
 
-/// The path of the question for a place at a runner that names a rate.
+/// The path of the query for a permit to send to a rate-limited runner.
 const PERMIT_PATH: &str = "/place";
 
-/// The path of the question for a retry.
+/// The path of the query for a retry token.
 const RETRY_PATH: &str = "/retry";
 
-/// The path of a report of what is in flight.
+/// The path of an in-flight report.
 const REPORT_PATH: &str = "/in-flight";
 
-/// The largest question or report, in bytes: a report has some five bytes for each
-/// group, of which there are a thousand at most, and some hundred for each suspected
-/// request that is new.
+/// The largest query or report, in bytes. A report has about 5 bytes for each group, of which there
+/// are at most 1000, and about 100 for each suspected request that is new.
 const MAX_QUERY_BYTES: usize = 64 * 1024;
 
-/// How much longer than it asked to wait a question may take until its answer begins, and how
-/// long the answer may pause. All that the store holds takes seconds on the way where many nodes
-/// ask a small box at once.
+/// How long the answer to a change poll may take to begin beyond the wait that the poll asks for, and
+/// how long it may pause. The whole content of the store is in transit for seconds when many nodes
+/// poll a small box at once, so there is no bound for the whole answer.
 const CALL_MARGIN: Millis = Millis(400);
 
-/// A question without news is answered no sooner than this, for each costs a call; a
-/// question waits for 0.7 s on average, as long as a watch of the store.
+/// The minimum time until a change poll is answered without changes, because each poll costs a call.
+/// A poll waits for 0.7 s on average, as long as a watch of the store.
 const MIN_EMPTY_WAIT: Millis = Millis(200);
 
-/// A question for what is new.
+/// A change poll.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct ChangeQuery {
-    /// Up to where the asking node knows everything.
+    /// The store position up to which the sender has all changes; `None` asks for the whole content.
     pub after: Option<Position>,
-    /// How long to wait for something new, in milliseconds.
+    /// How long to wait for a change, in milliseconds.
     pub wait_ms: u64,
 }
 
-/// What is new.
+/// The answer to a change poll.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ChangeBatch {
-    /// Up to where this node knows everything.
+    /// The store position up to which the answering node has all changes.
     pub position: Position,
-    /// Whether the items are all there are.
+    /// Whether the items are the whole content of the store, not only the changes.
     pub whole: bool,
-    /// How long the answer was held back for something new, in milliseconds.
+    /// How long the answering node waited for a change, in milliseconds.
     pub waited_ms: u64,
-    /// How long ago it was proven that the store held nothing newer, in milliseconds.
+    /// The age of its proof of freshness, in milliseconds.
     pub age_ms: u64,
-    /// For how long this node may have missed changes of the store, in milliseconds.
+    /// How long it may have missed changes of the store, in milliseconds.
     pub silence_ms: u64,
-    /// The items, packed.
+    /// The items, encoded.
     pub items: Bytes,
 }
 
-/// A question without a usable answer.
+/// A change poll without a usable answer.
 #[derive(Debug, Error)]
 pub enum PollError {
-    /// The other node did not answer, or does not know.
+    /// The other node did not answer, or has no current content.
     #[error(transparent)]
     Call(#[from] CallError),
-    /// Its answer cannot be read.
+    /// Its answer cannot be decoded.
     #[error(transparent)]
     Unpack(#[from] UnpackError),
 }
 
-/// Asks another node for what is new.
+/// Polls another node for changes of the store.
 pub async fn poll_changes(
     client: &Client,
     address: SocketAddr,
@@ -108,7 +108,7 @@
     Ok(client.call_steadily(address, CHANGES_PATH, &query, wait, CALL_MARGIN).await?)
 }
 
-/// Tells another node what is in flight. Returns what others have.
+/// Sends an in-flight report to another node. Returns the in-flight requests of the others.
 pub async fn send_report(
     node: &Node,
     client: &Client,
@@ -124,7 +124,7 @@
     suspects::exchange(node, &node.client, to, GROUP_PATH, query, wait).await
 }
 
-/// Asks the collector of the hall for a place at a runner that names a rate.
+/// Asks the collector of the hall for a permit to send to a rate-limited runner.
 pub(crate) async fn query_permit(
     node: &Node,
     to: &Peer,
@@ -134,7 +134,7 @@
     suspects::exchange(node, &node.client, to, PERMIT_PATH, query, wait).await
 }
 
-/// Asks the collector of the hall for a retry. Returns whether it lends one.
+/// Asks the collector of the hall for a retry token. Returns whether it grants one.
 pub(crate) async fn query_retry(
     node: &Node,
     to: &Peer,
@@ -144,7 +144,7 @@
     suspects::exchange(node, &node.client, to, RETRY_PATH, query, wait).await
 }
 
-/// Answers other nodes until the process ends.
+/// Answers the queries of other nodes until the process ends.
 pub async fn serve(node: Arc<Node>, listener: TcpListener) {
     loop {
         match listener.accept().await {
@@ -165,11 +165,11 @@
         async move { Ok::<Answer, Infallible>(handle_request(&node, request).await) }
     });
     if let Err(error) = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await {
-        log::debug!("peer: a connection ended with {error}");
+        log::debug!("peer: a connection failed: {error}");
     }
 }
 
-/// What the figures call a question.
+/// Returns the label of a query in metrics.
 fn find_query_kind(path: &str) -> &'static str {
     match path {
         CHANGES_PATH => "news",
@@ -230,7 +230,7 @@
     let mut serving = node.feed.subscribe_serving();
     tokio::select! {
         () = wait_for_changes(node, query) => {}
-        // The sender lives as long as the node.
+        // This cannot fail: the sender lives as long as the node.
         _ = serving.wait_for(|serving| !serving) => {}
     }
     if !*serving.borrow() {
@@ -262,22 +262,22 @@
 }
 
 fn report_encode_error(error: &rmp_serde::encode::Error) -> Answer {
-    log::error!("peer: an answer could not be encoded: {error}");
+    log::error!("peer: cannot encode an answer: {error}");
     build_answer(StatusCode::INTERNAL_SERVER_ERROR, Bytes::new())
 }
 
-/// Waits until there is something newer than the asking node has, or its time is over. An
-/// answer without news is given when this node has just been in contact with the store
-/// itself, so that those that ask it are hardly longer without than it is.
+/// Waits until this node has a change that the polling node lacks, or the wait of the poll is over.
+/// It also returns without a change when this node renews its contact with the store, so that the
+/// staleness of a polling node is hardly longer than that of this one.
 async fn wait_for_changes(node: &Node, query: ChangeQuery) {
     let Some(after) = query.after else { return };
     let min_contact = node.now() + MIN_EMPTY_WAIT;
     let mut position = node.feed.subscribe();
-    let mut contact = node.last_contact.subscribe();
+    let mut last_contact = node.last_contact.subscribe();
     let newer = position.wait_for(|position| position.is_some_and(|position| position > after));
-    let renewed = contact.wait_for(|contact| contact.is_some_and(|contact| contact > min_contact));
+    let renewed = last_contact.wait_for(|contact| contact.is_some_and(|contact| contact > min_contact));
     let either = async {
-        // Whichever comes first: the feed is read next, and says what there is.
+        // The caller reads the feed next, whichever of the two came first.
         tokio::select! { _ = newer => {} _ = renewed => {} }
     };
     let _ = tokio::time::timeout(Millis(query.wait_ms).duration(), either).await;
--- a/crates/node/src/suspects.rs
+++ b/crates/node/src/suspects.rs
@@ -1,5 +1,7 @@
-//! What this node and others have seen of requests that end runners: taking it in, telling it
-//! along with what nodes exchange anyway, and asking what becomes of a request.
+//! Suspected requests: requests that may crash the runners that execute them.
+//!
+//! This module merges the evidence of this node and of others, exchanges it piggybacked on the
+//! queries between nodes, and decides whether a request may run.
 
 use std::mem::discriminant;
 
@@ -20,25 +22,25 @@
 use crate::state::Node;
 use crate::telemetry;
 
-/// A question to another node, with what this one tells of suspected requests.
+/// A query to another node with piggybacked gossip about suspected requests.
 #[derive(Serialize, Deserialize)]
 pub(crate) struct Envelope<Q> {
-    /// The question.
+    /// The query.
     pub(crate) question: Q,
-    /// What is new here.
+    /// The rows that are new at the sender.
     pub(crate) push: Push,
 }
 
-/// The answer to it.
+/// The answer to an envelope.
 #[derive(Serialize, Deserialize)]
 pub(crate) struct EnvelopeReply<A> {
-    /// The answer.
+    /// The answer to the query.
     pub(crate) answer: A,
-    /// What the asking node has to know.
+    /// The rows that the sender of the query lacks.
     pub(crate) pull: Pull,
 }
 
-/// Puts a question to another node, and exchanges what both know of suspected requests.
+/// Sends a query to another node and exchanges the evidence about suspected requests with it.
 pub(crate) async fn exchange<Q: Serialize, A: DeserializeOwned>(
     node: &Node,
     client: &Client,
@@ -55,7 +57,7 @@
     Ok(reply.answer)
 }
 
-/// Takes in what another node pushes, and says what it has to know.
+/// Merges the rows that another node pushes, and returns the rows that it lacks.
 pub(crate) fn receive_push(node: &Node, push: &Push, scope: Scope) -> Pull {
     let origin = match scope {
         Scope::Node => Origin::Hall,
@@ -65,7 +67,7 @@
     gossip::build_pull(&node.suspects.lock(), node.instance, push, scope)
 }
 
-/// Takes rows in, from wherever they come.
+/// Merges rows of any origin into the evidence of this node.
 pub(crate) fn merge_rows(node: &Node, rows: &[Row], origin: Origin) {
     for row in rows {
         let changes = {
@@ -77,20 +79,21 @@
             }
             changes
         };
-        // An end or a run to the end: either way the run that was under way is over.
+        // A new row reports a crash or a completed run, so the trial run is over in either case.
         node.trials.lock().finish(&row.fingerprint);
         report_changes(node, &changes);
     }
 }
 
-/// A request has run to its end at a runner that lives on.
+/// Records that a request has completed at a runner that did not crash.
 pub(crate) fn record_completed(node: &Node, fingerprint: &Fingerprint) {
     node.trials.lock().finish(fingerprint);
     let changes = node.suspects.lock().record_completed(fingerprint, node.now());
     report_changes(node, &changes);
 }
 
-/// Holds back what nothing more is heard of, and forgets what is old.
+/// Drops expired evidence, and settles pending requests as deadly when no node has reported a better
+/// explanation of their crashes in time.
 pub(crate) fn update_levels(node: &Node) {
     let changes = {
         let mut table = node.suspects.lock();
@@ -100,17 +103,17 @@
     report_changes(node, &changes);
 }
 
-/// What speaks against a request counts no more.
+/// Voids all crashes that count against a request.
 pub(crate) fn void_crashes(node: &Node, fingerprint: &Fingerprint, reason: &str) {
     let changes = node.suspects.lock().void_crashes(fingerprint, node.now());
     if !changes.is_empty() {
-        log::info!("suspects: what speaks against {fingerprint} is lifted: {reason}");
+        log::info!("suspects: voided the crashes of request {fingerprint}: {reason}");
     }
     report_changes(node, &changes);
 }
 
-/// Logs each change of a level with its evidence, and wakes requests that wait. That there is
-/// more of the same evidence is no news.
+/// Logs each change of a level with its evidence, and wakes waiting requests if one became deadly.
+/// More evidence for the same level is not logged.
 fn report_changes(node: &Node, changes: &[Change]) {
     let is_level_change = |change: &&Change| discriminant(&change.before) != discriminant(&change.after);
     for Change { row, before, after } in changes.iter().filter(is_level_change) {
@@ -118,7 +121,7 @@
         let account = row.account.as_ref().map_or("-", |account| account.as_str());
         let crashes: Vec<String> = row.crashes.iter().map(Crash::to_string).collect();
         let line = format!(
-            "suspects: request {} of account {account} on route {} is {after}, was {before}: ended {}",
+            "suspects: request {} of account {account} on route {} is {after}, was {before}: crashed {}",
             row.fingerprint,
             row.route,
             crashes.join(", ")
@@ -133,7 +136,7 @@
     }
 }
 
-/// A request as a row with one end, that of the runner of a try.
+/// Returns a row for a request with one crash, that of the runner of an attempt.
 pub(crate) fn build_row(node: &Node, job: &Job, pick: &Pick) -> Row {
     let crash = node.suspects.lock().identify_crash(&pick.id, pick.life, pick.release.clone(), pick.at);
     Row {
@@ -146,8 +149,10 @@
     }
 }
 
-/// Whether a request crashes the runners that run it. One that has ended runners of releases of
-/// which none is left may run again: the release may have mended it.
+/// Whether a request is deadly, that is, crashes the runners that execute it.
+///
+/// The crashes are voided when no runner is left of the releases that it crashed: the newer release
+/// may have fixed the fault, so the request may run again.
 pub(crate) fn is_deadly(node: &Node, job: &Job) -> bool {
     if !matches!(node.suspects.lock().level(&job.fingerprint), Level::Deadly(_)) {
         return false;
@@ -156,25 +161,25 @@
     let is_obsolete =
         node.suspects.lock().get(&job.fingerprint).is_some_and(|row| row.is_obsolete(&releases));
     if is_obsolete {
-        void_crashes(node, &job.fingerprint, "no runner is left of the releases that it has ended");
+        void_crashes(node, &job.fingerprint, "no runner is left of the releases that it crashed");
     }
     !is_obsolete
 }
 
-/// What becomes of a request at present, as far as this node alone can tell. A run that is
-/// let begin counts from now.
+/// Decides whether a request may run now, by what this node alone knows. A trial run that it allows is
+/// recorded as started now.
 pub(crate) fn decide(node: &Node, job: &Job) -> Ruling {
     let level = node.suspects.lock().level(&job.fingerprint);
-    let (candidates, now) = (count_takers(node, job), node.now());
+    let (capacity, now) = (count_takers(node, job), node.now());
     let mut trials = node.trials.lock();
-    let ruling = trials.decide(&job.fingerprint, level, candidates, now);
+    let ruling = trials.decide(&job.fingerprint, level, capacity, now);
     if ruling == Ruling::Trial {
         trials.start(job.fingerprint, None, now);
     }
     ruling
 }
 
-/// Waits until a request is found to end runners; forever if it is not.
+/// Waits until a request is found to be deadly. Never returns if it is not.
 pub(crate) async fn wait_until_deadly(node: &Node, job: &Job) {
     let mut found = node.deadly_found.subscribe();
     while !is_deadly(node, job) {
