--- a/crates/node/src/crash.rs
+++ b/crates/node/src/crash.rs
@@ -1,4 +1,4 @@
-//! Finding out whether a runner has ended at which a try broke off.
+//! Finding out whether a runner crashed when an attempt at it broke off.
 
 use std::collections::HashMap;
 use std::io::ErrorKind;
@@ -19,40 +19,40 @@
 use crate::suspects;
 use crate::telemetry;
 
-/// What was found out of a runner holds for this long: all requests that broke off there do
-/// so within some milliseconds, and a new life takes seconds to start.
+/// How long a finding about a runner is valid. All requests that a crash interrupts break off within
+/// milliseconds, and the next incarnation takes seconds to start.
 const FINDING_TTL: Millis = Millis(500);
 
-/// How long the question which runner answers may take; it does so within milliseconds.
+/// The timeout of a probe of a runner; a runner answers one within milliseconds.
 const PROBE_TIMEOUT: Millis = Millis(150);
 
-/// A connection that was broken off at once was so within this; one that is not made in time
-/// takes longer to show.
+/// A probe that fails within this time had its connection closed at once by the runner. A connection
+/// that cannot be established takes longer to fail.
 const EARLY_CLOSE_MAX: Millis = Millis(60);
 
-/// The pause before a runner is started again that breaks connections off, and how often it is
-/// started. Without that, the end of a process that closes its connections before its port does not
-/// count, and the request is let run a fourth time.
+/// The pause before the next probe of a runner that closes connections at once. A process that is ending
+/// may close its connections before its port. Without further probes, such a crash would not count, and
+/// the request would be executed a fourth time.
 const PROBE_PAUSE: Millis = Millis(40);
 const MAX_PROBES: usize = 3;
 
-/// A runner of which nothing could be said is started again after these pauses: one that ended
-/// is back after some seconds, and its entry may take longer, or the store be away.
+/// The pauses before the follow-up probes of a runner about which nothing could be found out. A crashed
+/// runner is back after some seconds, but its entry may take longer, or the store be unavailable.
 const FOLLOW_UP_PAUSES: [Millis; 4] = [Millis(500), Millis(1000), Millis(1500), Millis(2000)];
 
-/// What became of a runner.
+/// The result of an investigation of a runner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Finding {
-    /// Its process has ended without notice.
+    /// Its process ended without being announced.
     Crashed,
-    /// It lives, or has ended as it had announced: what broke was the connection.
+    /// It runs, or ended as announced: only the connection broke.
     Alive,
-    /// Nothing can be said: the way there may be cut.
+    /// Not known, for example because the network to it is partitioned.
     Unknown,
 }
 
 impl Finding {
-    /// The finding as logs and figures name it.
+    /// Returns the name of the finding in logs and metrics.
     fn name(self) -> &'static str {
         match self {
             Finding::Crashed => "ended",
@@ -62,10 +62,10 @@
     }
 }
 
-/// A finding, made once for all requests that broke off there.
+/// A finding that all requests interrupted at the same runner share.
 type SharedFinding = Arc<OnceCell<Finding>>;
 
-/// What was lately found out of runners.
+/// The recent findings by runner, each with the time when its investigation started.
 #[derive(Debug, Default)]
 pub(crate) struct Findings(HashMap<id::Runner, (Millis, SharedFinding)>);
 
@@ -76,8 +76,8 @@
     }
 }
 
-/// Takes in what a try without an answer says of its request: whether the runner ended under
-/// it. That is found out to its end also where the caller leaves meanwhile.
+/// Finds out whether a runner crashed under a request after an attempt without an answer, and records
+/// the evidence. The investigation completes even if the caller disconnects meanwhile.
 pub(crate) async fn investigate(node: &Arc<Node>, job: &Job, pick: &Pick, error: &AttemptError) {
     let row = suspects::build_row(node, job, pick);
     match error {
@@ -85,7 +85,7 @@
             let (request, node, pick) = (job.id().to_owned(), node.clone(), pick.clone());
             let task = tokio::spawn(async move { resolve(&node, &request, &pick, row).await });
             if let Err(error) = task.await {
-                log::error!("request {}: what became of its runner is not known: {error}", job.id());
+                log::error!("request {}: the investigation of its runner failed: {error}", job.id());
             }
         }
         AttemptError::Silent(_) => record_interruption(node, pick, row),
@@ -97,11 +97,12 @@
     }
 }
 
+/// Logs the finding about an interrupted attempt and records its row accordingly.
 async fn resolve(node: &Arc<Node>, request: &str, pick: &Pick, row: Row) {
     let finding = find_shared(node, pick).await;
-    let life = pick.life.map_or("-".to_owned(), |life| life.to_string());
+    let incarnation_text = pick.life.map_or("-".to_owned(), |life| life.to_string());
     log::info!(
-        "request {request}: {} in life {life} is found {} after a try broke off there, fingerprint {}",
+        "request {request}: runner {} in incarnation {incarnation_text} is {} after an interrupted attempt, fingerprint {}",
         pick.id,
         finding.name(),
         row.fingerprint
@@ -113,6 +114,7 @@
     }
 }
 
+/// Keeps an attempt until it is known whether its runner crashed.
 fn record_interruption(node: &Node, pick: &Pick, row: Row) {
     let (runner, life, address) = (pick.id.clone(), pick.life, pick.address);
     node.interruptions.lock().record(Interruption {
@@ -124,7 +126,7 @@
     });
 }
 
-/// Finds out what became of the runner of a try that broke off.
+/// Returns the finding about the runner of an interrupted attempt, made once for all requests.
 async fn find_shared(node: &Arc<Node>, pick: &Pick) -> Finding {
     let shared = node.findings.lock().get_or_start(&pick.id, node.now());
     *shared.get_or_init(|| probe_and_follow(node, pick)).await
@@ -142,7 +144,7 @@
     finding
 }
 
-/// Asks a runner again of which nothing could be said.
+/// Probes a runner again about which nothing could be found out.
 async fn follow_up(node: Arc<Node>, pick: Pick) {
     for pause in FOLLOW_UP_PAUSES {
         tokio::time::sleep(pause.duration()).await;
@@ -152,20 +154,20 @@
         }
         let rows = node.interruptions.lock().take_crashed(&pick.id, pick.life, node.now());
         if finding == Finding::Crashed && !rows.is_empty() {
-            log::info!("crash: {} has ended under {} requests", pick.id, rows.len());
+            log::info!("crash: {} crashed under {} requests", pick.id, rows.len());
             suspects::merge_rows(&node, &rows, Origin::Hall);
         }
         return;
     }
 }
 
-/// Whether a runner was about to leave, as far as this node knows.
+/// Whether a runner is known to be leaving, or not known at all.
 fn is_leaving(node: &Node, pick: &Pick) -> bool {
     node.roster.lock().get(&pick.id).is_none_or(|runner| runner.draining)
 }
 
-/// Asks a runner what became of it. One that takes a connection and breaks it off at once is
-/// about to end, or has ended while this was under way: its connections close before its port.
+/// Probes a runner. One that accepts a connection and closes it at once is about to end, or ended during
+/// the probe, because its connections close before its port; it is probed again.
 async fn probe(node: &Node, pick: &Pick) -> Finding {
     for _ in 1..MAX_PROBES {
         let started = node.now();
--- a/crates/node/src/throttle.rs
+++ b/crates/node/src/throttle.rs
@@ -1,7 +1,8 @@
-//! Runners that name a rate: taking in what they say, telling it, and keeping to it.
+//! Rate-limited runners: recording the rates that they announce, exchanging the rates between nodes, and
+//! sending no more requests than they allow.
 //!
-//! The collector of a hall lets each request of the hall go there: where it chooses the group, in
-//! the same answer, and else when it is asked for a place.
+//! The collector of a hall grants each request of the hall that goes to such a runner: together with
+//! the group where it picks one, otherwise with a [`Permit`] that a node asks for.
 
 use std::sync::Arc;
 
@@ -24,20 +25,21 @@
 use crate::state::Node;
 use crate::telemetry;
 
-/// A node tells its collector what runners said to it within this time: it has told what is older
-/// in an earlier report.
+/// How long a node includes a rate that it received in the reports to its collector. Earlier reports
+/// had what is older.
 const RESEND_WINDOW: Millis = Millis(2000);
 
-/// A question for a place at one of these runners.
+/// Asks the collector for a permit to send a request to one of several rate-limited runners.
 #[derive(Serialize, Deserialize)]
 pub(crate) struct Query {
-    /// The service.
+    /// The service of the request.
     service: id::Service,
-    /// Whether the caller is told to come back where there is none, and how long it waits if that
-    /// is said: no runner takes its request otherwise.
+    /// Whether the request is refused without a permit, because no other runner takes it. The caller
+    /// is then told when to retry.
     refused: bool,
+    /// The remaining time of the caller, if it is known.
     patience: Option<Millis>,
-    /// What they said, as far as this node has heard it.
+    /// The rates of the runners, as far as the sender knows them.
     claims: Vec<Told>,
 }
 
@@ -47,23 +49,24 @@
     }
 }
 
-/// The answer to it.
+/// The answer to a [`Query`].
 #[derive(Serialize, Deserialize)]
 pub(crate) enum Permit {
-    /// The request goes to this runner.
+    /// The request may be sent to this runner.
     Take(id::Runner),
-    /// There is none, and the next one is so far away.
+    /// No runner can take a request now; the next one can after this time.
     Wait(Millis),
-    /// They take all requests again, as this says.
+    /// The runners have no rate limit any more, by these announcements.
     Free(Vec<Told>),
 }
 
-/// Reads from an answer to a request sent at `asked` how many requests a second its runner takes.
+/// Records the rate limit that a runner announced in the headers of its answer to a request sent at
+/// `asked`.
 pub(crate) fn record_rate(node: &Node, pick: &Pick, asked: Millis, headers: &HeaderMap) {
     let rate = match header::read_rate(headers) {
         Ok(rate) => rate,
         Err(error) => {
-            log::warn!("throttle: {}: {error}; what it said before holds", pick.id);
+            log::warn!("throttle: {}: {error}; its previous rate limit stays in force", pick.id);
             return;
         }
     };
@@ -86,14 +89,14 @@
     }
 }
 
-/// Takes in what another node tells.
+/// Records the rate limits that another node reports.
 pub(crate) fn receive_rates(node: &Node, claims: &[Told]) {
-    for told in claims {
-        insert_rate(node, told.read(node.now()), "is told to say");
+    for limit in claims {
+        insert_rate(node, limit.read(node.now()), "is told to say");
     }
 }
 
-/// Forgets runners that are gone.
+/// Forgets the rate limits of removed runners.
 pub(crate) fn remove_gone(node: &Node) {
     let roster = node.roster.lock();
     let throttles = &mut node.feedback.lock().throttles;
@@ -101,8 +104,8 @@
     node.allocations.lock().retain(|id| throttles.find(id, None).is_some());
 }
 
-/// What this node tells a collector of what runners said of their rates: to it lately, or to any
-/// of its hall.
+/// Lists the rate limits for a report to a collector: those that this node received lately, or for the
+/// report of a hall all of them.
 pub(crate) fn list_rates(node: &Node, scope: Scope) -> Vec<Told> {
     let now = node.now();
     let throttles = &node.feedback.lock().throttles;
@@ -110,20 +113,21 @@
     rates.map(|claim| claim.tell(now)).collect()
 }
 
-/// The same, of plain runners alone: what a node of this hall has to know, for those it chooses
-/// by itself.
+/// Lists the rate limits of runners without a domain. The nodes of this hall need them, because they
+/// pick those runners by themselves.
 pub(crate) fn list_plain_rates(node: &Node) -> Vec<Told> {
     let (roster, feedback, now) = (node.roster.lock(), node.feedback.lock(), node.now());
     let is_plain = |id: &id::Runner| roster.get_last_known(id).is_some_and(|runner| runner.domain.is_none());
     feedback.throttles.iter().filter(|claim| is_plain(&claim.runner)).map(|claim| claim.tell(now)).collect()
 }
 
-/// What this hall wants of runners that name a rate.
+/// Lists the rates that this hall wants of rate-limited runners. Empty in the report of a single node.
 pub(crate) fn list_demands(node: &Node, scope: Scope) -> Vec<Want> {
     if scope == Scope::Node { Vec::new() } else { node.allocations.lock().list_wants(node.now()) }
 }
 
-/// What each of these runners takes from this hall, by the rate that it names.
+/// Returns for each of these runners this hall's share of its rate and the time until the next request
+/// may be sent.
 fn list_outlooks(node: &Node, runners: &[(id::Runner, Rate)], now: Millis) -> Vec<Outlook> {
     let hall = &node.settings().hall;
     let (directory, reports) = (node.directory.lock(), node.reports.lock());
@@ -134,22 +138,22 @@
     runners.iter().map(|(runner, rate)| allocations.look(runner, *rate, &halls, now)).collect()
 }
 
-/// What several runners take together: the soonest of all, and the sum of their parts.
+/// Returns the shortest wait of several runners and the sum of their shares.
 fn sum_outlooks(outlooks: &[Outlook]) -> Option<Outlook> {
     let wait = outlooks.iter().map(|outlook| outlook.wait).min()?;
     Some(Outlook { wait, part: Rate(outlooks.iter().map(|outlook| outlook.part.0).sum()) })
 }
 
-/// The groups of a choice whose heads name a rate.
+/// The groups that are eligible for a request and whose heads are rate-limited.
 #[derive(Default)]
 pub(crate) struct LimitedGroups {
-    /// Those that get no request at present, and for how long.
+    /// The groups that may get no request now, and for how long.
     pub(crate) exhausted: Vec<(Epoch, Millis)>,
-    /// What all of them take together.
+    /// The shortest wait and the total share of all of them.
     outlook: Option<Outlook>,
 }
 
-/// As the collector, the groups whose heads name a rate.
+/// As the collector, lists the groups whose heads are rate-limited.
 pub(crate) fn list_limited(node: &Node, heads: &[&Runner], now: Millis) -> LimitedGroups {
     let (epochs, runners): (Vec<Epoch>, Vec<(id::Runner, Rate)>) = {
         let throttles = &node.feedback.lock().throttles;
@@ -168,7 +172,7 @@
     LimitedGroups { exhausted, outlook: sum_outlooks(&outlooks) }
 }
 
-/// When a caller for whom there is no place comes back.
+/// Returns after what time a caller is to retry when all groups are exhausted.
 pub(crate) fn plan_retry(
     node: &Node,
     question: &Question,
@@ -181,8 +185,8 @@
     Some(node.retry_schedule.lock().plan(&caller, outlook, now))
 }
 
-/// As the collector, counts a choice at the head that it fell on, and at the one that would be
-/// best but for its rate.
+/// As the collector, counts a pick against the rate of the picked head, and as demand for the head that
+/// would be the best without its rate limit.
 pub(crate) fn record_choice(node: &Node, heads: &[&Runner], reply: Reply, best: Option<Epoch>, now: Millis) {
     let throttles = &node.feedback.lock().throttles;
     let find_limited = |epoch: Epoch| {
@@ -202,7 +206,7 @@
     }
 }
 
-/// As the collector, gives a place at one of these runners.
+/// As the collector, grants a permit for one of the runners of a query.
 pub(crate) fn grant_permit(node: &Node, query: &Query) -> Permit {
     receive_rates(node, &query.claims);
     let now = node.now();
@@ -235,14 +239,14 @@
             let caller = Caller { service: &query.service, model: None, patience: query.patience };
             node.retry_schedule.lock().plan(&caller, total, now)
         }
-        // Nobody comes back for it: its request goes to another runner.
+        // The request goes to another runner, so no caller will retry at that time.
         false => total.wait,
     });
     Permit::Wait(wait.unwrap_or_default())
 }
 
-/// Asks the collector for a place at a runner that names a rate; none if no such runner can take
-/// the request, or nobody answers.
+/// Asks the collector for a permit to send a request to a rate-limited runner. Returns `None` if no such
+/// runner can take the request, or the collector does not answer.
 pub(crate) async fn query_permit(node: &Arc<Node>, job: &Job, tried: &[id::Runner]) -> Option<Permit> {
     let runners = list_throttled(node, job, tried);
     if runners.is_empty() {
@@ -262,23 +266,23 @@
     match peer::query_permit(node, &collector, &query, ANSWER).await {
         Ok(place) => Some(place),
         Err(error) => {
-            log::info!("request {}: {} gives no place: {error}", job.id(), collector.node);
+            log::info!("request {}: no permit from collector {}: {error}", job.id(), collector.node);
             avoid(node, collector);
             None
         }
     }
 }
 
-/// The runner that names a rate and gets a request from this node without asking, if one does.
+/// Picks a rate-limited runner without a permit, by the fallback limits of this node.
 pub(crate) fn pick_without_collector(node: &Node, job: &Job, tried: &[id::Runner]) -> Option<id::Runner> {
     let runners = list_throttled(node, job, tried);
     let (nodes, now) = (node.directory.lock().count(), node.now());
     let mut limits = node.fallback_limits.lock();
-    let taken = runners.into_iter().find(|(id, rate)| limits.take(id, *rate, nodes, now, &mut rand::rng()));
-    taken.map(|(id, _)| id)
+    let picked = runners.into_iter().find(|(id, rate)| limits.take(id, *rate, nodes, now, &mut rand::rng()));
+    picked.map(|(id, _)| id)
 }
 
-/// The refusal of a request where all that can take it have had as many as they take.
+/// Returns the refusal of a request when all runners that can take it have used up their rates.
 pub(crate) fn refuse(node: &Node, job: &Job, wait: Millis) -> Refusal {
     Refusal::Throttled { wait, patience: job.patience(node.now()) }
 }
