--- a/crates/node/src/bin/cottoncrank-node.rs
+++ b/crates/node/src/bin/cottoncrank-node.rs
@@ -1,15 +1,15 @@
-//! A node on the users' platform.
+//! The program `cottoncrank-node`: a node on the users' platform.
 
 use std::process::ExitCode;
 
 use clap::Parser;
 use cottoncrank_node::program;
 
-/// Takes requests and decides for the fleet, as the platform's settings say.
+/// Serves requests and takes part in managing the fleet, as configured in the platform's settings.
 #[derive(Debug, Parser)]
 #[command(version)]
 struct Args {
-    /// Only check the settings; exit code 0 if they can be used.
+    /// Only check the settings; the exit code is 0 if they are valid.
     #[arg(long)]
     check: bool,
 }
--- a/crates/node/src/crash.rs
+++ b/crates/node/src/crash.rs
@@ -102,7 +102,7 @@
     let finding = find_shared(node, pick).await;
     let incarnation_text = pick.life.map_or("-".to_owned(), |life| life.to_string());
     log::info!(
-        "request {request}: runner {} in incarnation {incarnation_text} is {} after an interrupted attempt, fingerprint {}",
+        "request {request}: runner {} in incarnation {incarnation_text} has finding {} after an interrupted attempt, fingerprint {}",
         pick.id,
         finding.name(),
         row.fingerprint
--- a/crates/node/src/log.rs
+++ b/crates/node/src/log.rs
@@ -1,8 +1,8 @@
-//! The log of a node: lines on standard output, bounded and never waited for.
+//! The log of a node: rate-limited, non-blocking lines on standard output.
 //!
-//! A line is put into a queue and written by a thread of its own. When the queue
-//! is full, or more lines come in a second than allowed, lines are left out and
-//! counted; notices go first, warnings and errors last.
+//! Lines go through a bounded queue to a thread that writes them. When the queue is full, or the quota of
+//! the current second is used up, lines are dropped and counted. Warnings and errors have a quota of their
+//! own, so notices cannot displace them.
 
 use std::io::Write;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -15,20 +15,20 @@
 use log::{Level, Record};
 use parking_lot::Mutex;
 
-/// Lines that wait to be written: a second's worth at the allowed rate.
+/// The capacity of the queue: the lines of one second at the allowed rate.
 const QUEUE_LINES: usize = 512;
 
-/// How long the end of the process waits for the last lines: an output that takes
-/// them does so at once, and one that is blocked must not use up the grace.
+/// How long the end of the process waits for the last lines. A working output takes them at once, and a
+/// blocked one must not use up the grace period.
 const FLUSH_TIMEOUT: Millis = Millis(200);
 
-/// Notices allowed in a second: several times what a node writes while much fails.
+/// The notices allowed in a second: several times what a node writes while many requests fail.
 const MAX_NOTICES: u32 = 300;
 
-/// Warnings and errors allowed in a second, beside the notices.
+/// The warnings and errors allowed in a second, in addition to the notices.
 const MAX_WARNINGS: u32 = 200;
 
-/// What is counted over a second.
+/// The lines counted in one second.
 #[derive(Default)]
 struct Window {
     start: Millis,
@@ -36,12 +36,12 @@
     warnings: u32,
 }
 
-/// Lines allowed in each second.
+/// A limit on the lines of each second.
 #[derive(Default)]
 pub struct Quota(Window);
 
 impl Quota {
-    /// Whether a line of this level may be written at `now`.
+    /// Counts a line of this level, and returns whether it may be written at `now`.
     pub fn allows(&mut self, level: Level, now: Millis) -> bool {
         if now >= self.0.start + Millis(1000) {
             self.0 = Window { start: now, ..Window::default() };
@@ -55,15 +55,15 @@
     }
 }
 
-/// What the writing thread gets.
+/// A message to the writing thread.
 enum Entry {
     /// A line.
     Line(Vec<u8>),
-    /// All lines before are to be written, and this told.
+    /// Write all lines before this one, then signal completion.
     Flush(SyncSender<()>),
 }
 
-/// Takes lines, and leaves the writing to a thread.
+/// A log writer that leaves the writing to a thread.
 pub struct Queue {
     lines: SyncSender<Entry>,
     quota: Mutex<Quota>,
@@ -71,14 +71,14 @@
     dropped: AtomicU64,
 }
 
-/// Starts the log on standard output. `RUST_LOG` goes before the level given.
+/// Starts the log on standard output. `RUST_LOG` takes precedence over `level`.
 pub fn start(level: &str) -> Result<LoggerHandle, flexi_logger::FlexiLoggerError> {
     let queue = Queue::start(std::io::stdout())?;
     Logger::try_with_env_or_str(level)?.log_to_writer(Box::new(queue)).start()
 }
 
-/// Writes lines until the process ends. A line that cannot be written is lost:
-/// there is nowhere else to say so.
+/// Writes lines until the process ends. A line that cannot be written is lost, because there is nowhere
+/// else to report it.
 fn write_lines(entries: &Receiver<Entry>, mut out: impl Write) {
     while let Ok(first) = entries.recv() {
         let mut bytes = Vec::new();
@@ -91,7 +91,7 @@
         }
         let _ = out.write_all(&bytes).and_then(|()| out.flush());
         for done in flushes {
-            // Whoever waited may have given up.
+            // The receiver may have timed out.
             let _ = done.try_send(());
         }
     }
@@ -130,14 +130,14 @@
         let time = now.format("%Y-%m-%dT%H:%M:%S%.3f");
         let dropped = self.dropped.swap(0, Ordering::Relaxed);
         if dropped > 0 {
-            self.push(format!("{time} WARN  log: {dropped} lines were left out\n").into_bytes());
+            self.push(format!("{time} WARN  log: {dropped} lines were dropped\n").into_bytes());
         }
         self.push(format!("{time} {:5} {}\n", record.level(), record.args()).into_bytes());
         Ok(())
     }
 
-    /// Waits until what was logged so far is written, for [`FLUSH_TIMEOUT`] at most: the
-    /// process is about to end, and the thread ends with it.
+    /// Waits until all lines so far are written, for at most [`FLUSH_TIMEOUT`]. It is called before the
+    /// process ends, because the writing thread ends with it.
     fn flush(&self) -> std::io::Result<()> {
         let (done, done_receiver) = sync_channel(1);
         let sent = self.lines.try_send(Entry::Flush(done));
--- a/crates/node/src/program.rs
+++ b/crates/node/src/program.rs
@@ -1,4 +1,4 @@
-//! A node as a program: its log, its settings and its signals.
+//! The program of a node: log, settings and signals.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,22 +15,22 @@
 use crate::state::Node;
 use crate::{log, telemetry};
 
-/// How often the settings are looked at without being signaled.
+/// How often the settings are read again without a signal.
 const REREAD_INTERVAL: Millis = Millis(10_000);
 
 /// Why the program did not start.
 #[derive(Debug, Error)]
 pub enum ProgramError {
-    /// The settings cannot be used.
+    /// The settings are invalid.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// Something else was missing.
+    /// The log, the runtime or a socket could not be set up.
     #[error(transparent)]
     Start(#[from] StartError),
 }
 
-/// Runs a node until it is signaled to stop, with `background` under way background it. With `check` it
-/// only says whether the settings can be used.
+/// Runs a node until it receives a stop signal, with `background` as an additional task. With `check` it
+/// only checks the settings.
 pub fn run(check: bool, background: impl Future<Output = ()> + Send + 'static) -> Result<(), ProgramError> {
     let log = log::start("info").map_err(StartError::from)?;
     let settings = settings::read()?;
@@ -44,7 +44,7 @@
         tokio::spawn(background);
         serve(Node::new(settings)).await
     });
-    // Lines that cannot be written in time are lost, as at any other time.
+    // Lines that cannot be written within the timeout of the flush are lost.
     log.flush();
     Ok(served.map_err(StartError::from)?)
 }
@@ -62,7 +62,7 @@
     Ok(())
 }
 
-/// Shows the figures. A node without them serves all the same.
+/// Serves the metrics. A node that cannot bind their port serves callers all the same.
 async fn serve_metrics(node: &Arc<Node>) {
     let address = SocketAddr::new(node.settings().peers.ip(), telemetry::PORT);
     let (Some(handle), bound) = (telemetry::install(), TcpListener::bind(address).await) else { return };
@@ -71,12 +71,12 @@
             tokio::spawn(telemetry::sample_gauges(node.clone()));
             tokio::spawn(telemetry::serve(listener, handle));
         }
-        Err(error) => ::log::warn!("figures: not shown, {address}: {error}"),
+        Err(error) => ::log::warn!("figures: cannot serve metrics at {address}: {error}"),
     }
 }
 
-/// Reads the settings anew on SIGHUP, and now and then, for the file may change
-/// without one. Addresses are those of the start until the next start.
+/// Reads the settings again on SIGHUP, and every [`REREAD_INTERVAL`] because the file may change without a
+/// signal. The node keeps the addresses that it was started with.
 async fn reread_settings(node: Arc<Node>, mut reload: Signal) {
     loop {
         let signaled = tokio::time::timeout(REREAD_INTERVAL.duration(), reload.recv()).await.is_ok();
@@ -86,10 +86,10 @@
                 node.set_settings(settings);
             }
             Ok(None) if signaled => {
-                ::log::info!("node: signaled to read the settings, which have not changed")
+                ::log::info!("node: reloaded the settings; they have not changed")
             }
             Ok(None) => {}
-            Err(error) => ::log::error!("node: going on with the settings held: {error}"),
+            Err(error) => ::log::error!("node: keeping the previous settings: {error}"),
         }
     }
 }
--- a/crates/node/src/start.rs
+++ b/crates/node/src/start.rs
@@ -1,4 +1,4 @@
-//! Starting and stopping a node.
+//! Starting and draining a node.
 
 use std::io;
 use std::sync::Arc;
@@ -11,13 +11,13 @@
 use crate::state::Node;
 use crate::{collect, decider, front, member, peer, presence, suspect_store, suspension, sync};
 
-/// Kept of the time between the order to stop and the kill.
+/// The part of the time between the stop signal and the kill that is not used for draining.
 const STOP_MARGIN: Millis = Millis(700);
 
-/// How often a node that is about to stop looks whether its requests are answered.
+/// How often a draining node checks whether its requests are answered.
 const POLL_INTERVAL: Millis = Millis(50);
 
-/// The ports of a node.
+/// The listening sockets of a node.
 pub struct Listeners {
     /// For callers.
     pub callers: TcpListener,
@@ -28,7 +28,7 @@
 }
 
 impl Listeners {
-    /// Opens the ports that the settings name.
+    /// Binds the addresses of the settings.
     pub async fn bind(settings: &Settings) -> io::Result<Listeners> {
         Ok(Listeners {
             callers: TcpListener::bind(settings.callers).await?,
@@ -38,7 +38,7 @@
     }
 }
 
-/// Starts everything a node does. It ends when the tasks are dropped.
+/// Starts all tasks of a node. They end when the returned set is dropped.
 pub fn start(node: &Arc<Node>, listeners: Listeners) -> JoinSet<()> {
     let mut tasks = JoinSet::new();
     tasks.spawn(sync::run(node.clone()));
@@ -55,12 +55,14 @@
     tasks
 }
 
-/// Tells the balancer, takes callers until it must have noticed, and then waits
-/// until those there are have their answers, as far as the time allows. What
-/// would be taken later might not be finished before the kill.
+/// Drains the node before it stops.
+///
+/// The node reports that it is not ready and accepts requests until the balancer must have noticed. Then
+/// it rejects new requests, which might not finish before the kill, and waits for those in flight as long
+/// as the grace period allows.
 pub async fn drain(node: &Node) {
     let end = node.now() + (node.settings().bounds.grace - STOP_MARGIN);
-    log::info!("node: told to stop, {} requests under way", node.running());
+    log::info!("node: received a stop signal, {} requests in flight", node.running());
     node.draining.send_replace(true);
     tokio::time::sleep(front::NOTICE.duration()).await;
     node.closed.send_replace(true);
--- a/crates/node/src/suspect_store.rs
+++ b/crates/node/src/suspect_store.rs
@@ -1,5 +1,5 @@
-//! Keeping what is known of requests that end runners in the store: it outlasts all nodes
-//! there, and reaches those that cannot exchange with others.
+//! The evidence about suspected requests in the store. There it outlasts all nodes, and reaches nodes that
+//! cannot exchange messages with others.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -16,29 +16,29 @@
 use crate::state::Node;
 use crate::suspects;
 
-/// The prefix of the entries; a request's fingerprint follows.
+/// The prefix of the keys of entries. The fingerprint of the request follows.
 const PREFIX: &str = "suspects/";
 
-/// How often a node looks what the store lacks.
+/// How often a node checks what has to be written.
 const SCAN_INTERVAL: Millis = Millis(200);
 
-/// The collectors write one after the other, so that most find it written: a write is
-/// known to the others within some 0.3 s.
+/// The delay between the collectors of successive halls. They write one after the other, and a write is
+/// known to the others within some 0.3 s, so most find the entry written already.
 const WRITE_STAGGER: Millis = Millis(300);
 
-/// The pause after a call that failed.
+/// The pause after a failed call of the store.
 const RETRY_PAUSE: Millis = Millis(1000);
 
-/// Entries in one write, under the store's limit for one.
+/// The maximum number of entries in one commit, below the limit of the store.
 const MAX_WRITES: usize = 30;
 
-/// An entry that cannot be read.
+/// An invalid entry.
 #[derive(Debug, Error)]
 pub(crate) enum EntryError {
-    /// Its key names no request.
+    /// The key is no fingerprint.
     #[error(transparent)]
     Key(#[from] FingerprintError),
-    /// Its value is not of the form that is written.
+    /// The value cannot be decoded.
     #[error("the value cannot be decoded: {0}")]
     Value(#[from] rmp_serde::decode::Error),
     /// The value is about another request than the key.
@@ -46,12 +46,12 @@
     Foreign(Fingerprint),
 }
 
-/// The request whose entry has this key, if it is one's.
+/// Returns the request whose entry has this key, or `None` for a key of another kind.
 fn parse_key(key: &str) -> Option<Result<Fingerprint, FingerprintError>> {
     key.strip_prefix(PREFIX).map(str::parse)
 }
 
-/// Reads an entry, if the item is one.
+/// Decodes an entry. Returns `None` for an item of another kind.
 pub(crate) fn read_entry(item: &Item) -> Option<Result<Row, EntryError>> {
     let key = parse_key(&item.key)?;
     Some(key.map_err(EntryError::from).and_then(|fingerprint| {
@@ -63,14 +63,16 @@
     }))
 }
 
-/// The store holds this.
+/// Merges a row that the store holds.
 pub(crate) fn apply_entry(node: &Node, row: &Row) {
     suspects::merge_rows(node, std::slice::from_ref(row), Origin::Elsewhere);
     node.suspects.lock().record_stored(row);
 }
 
-/// A key is gone. Returns whether it was an entry's. Nodes remove only what counts for
-/// nothing any more: anything else was removed by operators, to have the request run again.
+/// Applies the removal of a key. Returns whether it was the key of an entry.
+///
+/// Nodes remove only obsolete entries. Any other entry was removed by operators so that the request may
+/// run again, so its crashes are voided.
 pub(crate) fn apply_removal(node: &Node, key: &str) -> bool {
     let Some(Ok(fingerprint)) = parse_key(key) else { return false };
     if node.suspects.lock().record_removed(&fingerprint) {
@@ -79,7 +81,7 @@
     true
 }
 
-/// The store was read whole, and these are all its entries.
+/// Applies the removal of all stored entries except those that a complete read of the store found.
 pub(crate) fn retain_entries(node: &Node, present: &HashSet<Fingerprint>) {
     let stored = node.suspects.lock().list_stored();
     for fingerprint in stored.iter().filter(|fingerprint| !present.contains(fingerprint)) {
@@ -87,7 +89,7 @@
     }
 }
 
-/// Writes what the store lacks, and removes what it needs no more, until the process ends.
+/// Writes the rows that the store lacks and removes obsolete entries until the process ends.
 pub async fn run(node: Arc<Node>) {
     loop {
         tokio::time::sleep(SCAN_INTERVAL.duration()).await;
@@ -97,16 +99,16 @@
         }
         match node.store.commit(&commit).await {
             Ok(Outcome::Done(_)) => record_commit(&node, &commit),
-            Ok(Outcome::Conflict) => log::error!("record: a write without a condition met one"),
+            Ok(Outcome::Conflict) => log::error!("record: a write without a condition got a conflict"),
             Err(error) => {
-                log::info!("record: what is known of suspected requests is not written: {error}");
+                log::info!("record: cannot write the evidence about suspected requests: {error}");
                 tokio::time::sleep(RETRY_PAUSE.duration()).await;
             }
         }
     }
 }
 
-/// What this node writes now, if it is a collector and its turn has come.
+/// Returns what this node has to write now. Empty if it is no collector or its delay is not over.
 fn build_commit(node: &Node) -> Commit {
     let Some(wait) = find_write_delay(node) else { return Commit::default() };
     let now = node.now();
@@ -116,7 +118,7 @@
     for (row, _) in due.take(MAX_WRITES) {
         match rmp_serde::to_vec(row) {
             Ok(value) => commit.puts.push((format!("{PREFIX}{}", row.fingerprint), value, None)),
-            Err(error) => log::error!("record: {} cannot be encoded: {error}", row.fingerprint),
+            Err(error) => log::error!("record: cannot encode {}: {error}", row.fingerprint),
         }
     }
     let obsolete = table.list_obsolete().into_iter().take(MAX_WRITES - commit.puts.len());
@@ -124,8 +126,8 @@
     commit
 }
 
-/// How long after it was learned this node writes something, if it is the collector of its
-/// hall. One that reaches no other node of the hall is its own.
+/// Returns how long after a row was learned this node writes it, or `None` if it is not the collector of
+/// its hall. A node that reaches no other node of the hall is its own collector.
 fn find_write_delay(node: &Node) -> Option<Millis> {
     let settings = node.settings();
     let collector = find_collector(node, &settings.hall, &node.unreachable_for_reports.lock());
@@ -136,6 +138,7 @@
     })
 }
 
+/// Records the effects of a successful commit.
 fn record_commit(node: &Node, commit: &Commit) {
     let mut table = node.suspects.lock();
     for (_, value, _) in &commit.puts {
--- a/crates/node/src/suspension.rs
+++ b/crates/node/src/suspension.rs
@@ -1,7 +1,7 @@
-//! Noticing that this process did not run for a while, and what has to happen then.
+//! Detection of suspensions: periods in which this process did not run.
 //!
-//! Points in time are kept by a clock that counts a suspension; timers do not. So all that
-//! waits for a point in time is woken, and looks at the clock again.
+//! The clock of the node counts suspensions, but timers do not. After a suspension, every task that waits
+//! for a point in time is woken to check the clock again.
 
 use std::sync::Arc;
 
@@ -12,11 +12,11 @@
 use crate::suspects;
 use crate::telemetry;
 
-/// How often the clocks are compared: a request whose time was over during a suspension is
-/// answered this long after it at the latest.
+/// How often the clocks are compared. A request whose deadline passed during a suspension is answered at
+/// most this long after it.
 const CHECK_INTERVAL: Millis = Millis(100);
 
-/// Looks after time until the process ends.
+/// Detects suspensions and updates the levels of suspected requests until the process ends.
 pub async fn run(node: Arc<Node>) {
     let mut detector = SuspensionDetector::new(node.clock.clone());
     loop {
@@ -28,12 +28,12 @@
     }
 }
 
-/// The process runs again. What is known is as old as the clock says, which counts the suspension:
-/// nothing has to be thrown away.
+/// Wakes the waiting tasks after a suspension. Cached state need not be dropped, because the clock counts
+/// the suspension in its age.
 fn handle_resume(node: &Node, suspension: Suspension) {
     let staleness = node.staleness().map_or("unknown".to_owned(), |staleness| staleness.to_string());
     log::warn!(
-        "node: this process was {suspension}; changes of the store may be missed for {staleness}, {} requests under way",
+        "node: this process was {suspension}; staleness of the store's content {staleness}, {} requests in flight",
         node.running()
     );
     telemetry::count_suspension(&suspension);
--- a/crates/node/src/telemetry.rs
+++ b/crates/node/src/telemetry.rs
@@ -1,4 +1,4 @@
-//! The figures of a node, as the metrics port shows them.
+//! The metrics of a node and the port that serves them.
 
 use std::collections::VecDeque;
 use std::convert::Infallible;
@@ -22,33 +22,32 @@
 use crate::news::{self, Pressure};
 use crate::state::Node;
 
-/// The port of the figures, on the address that other nodes use. Also named in
-/// deploy/system.toml.
+/// The metrics port, at the address that other nodes use. It is also written in deploy/system.toml.
 pub const PORT: u16 = 9464;
 
-/// How often figures that are states are taken.
+/// How often gauges are sampled.
 const SAMPLE_INTERVAL: Millis = Millis(1000);
 
-/// How many samples the highest age of the proof is taken of: figures that are fetched
-/// less often than that miss what came between.
+/// The number of samples over which the maximum age of the proof of freshness is taken. It has to cover
+/// the interval at which metrics are scraped, because a scrape sees no peak before that.
 const AGE_SAMPLES: usize = 10;
 
-/// The bounds of latency histograms, in seconds: around what is wanted of first
-/// events today, 0.15 to 0.5 s.
+/// The bounds of latency histograms, in seconds. They are densest around the targets for first events,
+/// 0.15 to 0.5 s.
 const LATENCY_BUCKETS: [f64; 9] = [0.05, 0.1, 0.15, 0.2, 0.3, 0.5, 1.0, 2.0, 5.0];
 
-/// A request was answered, or its answer has begun. `outcome` is `answered` or
-/// the reason of the refusal.
+/// Counts a request whose answer has begun or is complete. `outcome` is `answered` or the reason of the
+/// refusal.
 pub fn count_request(kind: &'static str, outcome: &'static str) {
     metrics::counter!("cottoncrank_requests_total", "kind" => kind, "outcome" => outcome).increment(1);
 }
 
-/// A runner was tried without success.
+/// Counts a failed attempt at a runner.
 pub fn count_failed_attempt(reason: &'static str) {
     metrics::counter!("cottoncrank_attempts_failed_total", "reason" => reason).increment(1);
 }
 
-/// Another node has put a question of this kind, of so many bytes, and got an answer.
+/// Counts an answered query of another node, with the bytes of both.
 pub fn count_query(kind: &'static str, query_bytes: usize, answer_bytes: usize) {
     metrics::counter!("cottoncrank_questions_total", "kind" => kind).increment(1);
     metrics::counter!("cottoncrank_question_bytes_total", "kind" => kind, "direction" => "in")
@@ -57,28 +56,28 @@
         .increment(answer_bytes as u64);
 }
 
-/// This node, which decides, has put so many questions to runners.
+/// Counts queries of the decider to runners.
 pub fn count_probes(count: usize) {
     metrics::counter!("cottoncrank_runner_questions_total").increment(count as u64);
 }
 
-/// A look of the deciding node at the fleet took so long.
+/// Records the duration of one planning pass of the decider over the fleet.
 pub fn record_planning_time(took: Millis) {
     metrics::histogram!("cottoncrank_look_seconds").record(took.0 as f64 / 1000.0);
 }
 
-/// A node of this hall was lent a retry, or there was none.
+/// Counts the answer to a retry query: granted, or none left in the shared retry pool.
 pub fn count_retry_grant(granted: bool) {
     let outcome = if granted { "lent" } else { "none" };
     metrics::counter!("cottoncrank_retries_lent_total", "outcome" => outcome).increment(1);
 }
 
-/// A runner of a hall that names a rate has answered a request of this node.
+/// Counts a request of this node that a rate-limited runner of `hall` has answered.
 pub fn count_rate_limited(hall: &id::Hall) {
     metrics::counter!("cottoncrank_limited_sent_total", "hall" => hall.to_string()).increment(1);
 }
 
-/// The process did not run for a while.
+/// Counts a suspension of this process.
 pub fn count_suspension(suspension: &Suspension) {
     let kind = match suspension {
         Suspension::Suspended(_) => "suspended",
@@ -87,22 +86,22 @@
     metrics::counter!("cottoncrank_gaps_total", "kind" => kind).increment(1);
 }
 
-/// The store came back from an older copy.
+/// Counts a restore of the store from an older copy.
 pub fn count_era() {
     metrics::counter!("cottoncrank_store_eras_total").increment(1);
 }
 
-/// Something that was in force here is kept, for the store has an older one or none.
+/// Counts an item that this node keeps in force because the restored store has an older one or none.
 pub fn count_carried_item(kind: &'static str) {
     metrics::counter!("cottoncrank_items_carried_total", "kind" => kind).increment(1);
 }
 
-/// What became of a runner whose connection broke.
+/// Counts a finding about a runner whose connection broke.
 pub fn count_finding(finding: &'static str) {
     metrics::counter!("cottoncrank_broken_runners_total", "finding" => finding).increment(1);
 }
 
-/// The level of suspicion of a request has changed.
+/// Counts a change of the level of a suspected request.
 pub fn count_level_change(level: &Level) {
     let level = match level {
         Level::Clear => "clear",
@@ -113,29 +112,28 @@
     metrics::counter!("cottoncrank_suspects_total", "level" => level).increment(1);
 }
 
-/// A source of what the store holds gave nothing that can be used: one of the nodes or
-/// the store itself.
+/// Counts a failure of a source of the store's content, which is another node or the store itself.
 pub fn count_source_failure(source: &'static str, reason: &'static str) {
     metrics::counter!("cottoncrank_sources_failed_total", "source" => source, "reason" => reason)
         .increment(1);
 }
 
-/// An item of the store cannot be read: what it is, and why.
+/// Counts an invalid item of the store by its kind and the reason.
 pub fn count_invalid_item(part: &'static str, reason: &'static str) {
     metrics::counter!("cottoncrank_items_unreadable_total", "part" => part, "reason" => reason).increment(1);
 }
 
-/// A stream was cut after its first event.
+/// Counts a stream that was cut after its first event.
 pub fn count_cut_stream() {
     metrics::counter!("cottoncrank_streams_cut_total").increment(1);
 }
 
-/// The first event, or the whole of a plain answer, came after `wait`.
+/// Records the delay of the first event of a stream, or of a whole plain answer.
 pub fn record_first_event(kind: &'static str, wait: Millis) {
     metrics::histogram!("cottoncrank_first_event_seconds", "kind" => kind).record(wait.0 as f64 / 1000.0);
 }
 
-/// Installs the recorder. Only the first call of a process can.
+/// Installs the global recorder. Returns `None` if this process has one already.
 pub fn install() -> Option<PrometheusHandle> {
     let builder = PrometheusBuilder::new().set_buckets(&LATENCY_BUCKETS).ok()?;
     let recorder = builder.build_recorder();
@@ -143,7 +141,7 @@
     metrics::set_global_recorder(recorder).ok().map(|()| handle)
 }
 
-/// Takes figures that are states, until the process ends.
+/// Samples the gauges until the process ends.
 pub async fn sample_gauges(node: Arc<Node>) {
     let mut ages = VecDeque::new();
     loop {
@@ -192,7 +190,7 @@
         .set(pressure.allowed.0 as f64 / 1000.0);
 }
 
-/// Shows the figures until the process ends.
+/// Serves the metrics until the process ends.
 pub async fn serve(listener: TcpListener, handle: PrometheusHandle) {
     loop {
         match listener.accept().await {
--- a/crates/node/src/throttle.rs
+++ b/crates/node/src/throttle.rs
@@ -45,7 +45,7 @@
 
 impl Query {
     fn includes(&self, runner: &id::Runner) -> bool {
-        self.claims.iter().any(|told| told.runner == *runner)
+        self.claims.iter().any(|limit| limit.runner == *runner)
     }
 }
 
@@ -215,7 +215,7 @@
         let limited = query
             .claims
             .iter()
-            .filter_map(|told| Some((told.runner.clone(), throttles.find(&told.runner, told.life)?)));
+            .filter_map(|limit| Some((limit.runner.clone(), throttles.find(&limit.runner, limit.life)?)));
         limited.collect()
     };
     if runners.is_empty() {
--- a/crates/node/tests/fleet.rs
+++ b/crates/node/tests/fleet.rs
@@ -289,7 +289,7 @@
     wait_for("the settings have changed").await;
     std::fs::write(&file, "node = 1").unwrap();
     signal(&process, "HUP");
-    wait_for("going on with the settings held").await;
+    wait_for("keeping the previous settings").await;
     assert!(process.try_wait().unwrap().is_none(), "it still runs");
     signal(&process, "TERM");
     wait_for("node: stops, 0 requests under way").await;
