--- a/crates/node/src/crash.rs
+++ b/crates/node/src/crash.rs
@@ -34,6 +34,8 @@
 /// may close its connections before its port. Without further probes, such a crash would not count, and
 /// the request would be executed a fourth time.
 const PROBE_PAUSE: Millis = Millis(40);
+
+/// How often such a runner is probed in total.
 const MAX_PROBES: usize = 3;
 
 /// The pauses before the follow-up probes of a runner about which nothing could be found out. A crashed
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,19 +1,58 @@
-//! A node on the users' platform: one process a box.
-//!
-//! [`sync`] keeps what the node believes in step with the platform's store, read
-//! here or by another node ([`peer`], [`feed`], [`member`], whose entries `presence` removes), and `intake` takes it in; `era` says
-//! what is carried over when the store comes back from an older copy.
-//! [`collect`] tells nodes what the others have in flight, and `dispatch` asks one of
-//! them which group takes a request. [`front`] takes callers' requests, [`request`]
-//! admits and routes them, [`plain`] and [`stream`] run them at runners (a stream try by
-//! try, in `tries`, from a `source`, passed on by `relay`; `retries` pays for further tries), and [`decider`] gives orders
-//! to the runners, which `prober` asks how they are, while this node holds the lease for
-//! that. `backoff` keeps for how long runners want no requests. `crash` finds out whether a runner
-//! ended under a request, `suspects` exchanges that
-//! with other nodes and says what becomes of the request, and `suspect_store` keeps it in the store. `suspension`
-//! notices that the process did not run for a while.
-//! `unreadable` bounds what the log tells of items that cannot be read. All state stands in
-//! [`state::Node`].
+//! A node of cottoncrank on the users' platform: one process on each entry box.
+//!
+//! All state is in [`state::Node`], which the tasks that [`start`] spawns share. Modules without a link
+//! are private to the crate.
+//!
+//! # Following the store
+//!
+//! - [`sync`] keeps a node in step with the platform's store. It reads the store itself or polls another
+//!   node, the decider or a reader of its hall.
+//! - [`feed`] keeps the content of the store for the nodes that poll this one, and [`peer`] carries the
+//!   change polls.
+//! - `intake` applies the content and its changes to the state; [`plans`] reads the domain plans.
+//! - `unreadable` limits the log lines about invalid items.
+//! - `era` carries items over when the store is restored from an older copy.
+//! - [`member`] writes the entry of this node to the store, and `presence`, on the collector of a hall,
+//!   removes the entries of nodes that are gone.
+//!
+//! # Reporting in-flight requests
+//!
+//! - [`collect`] sends in-flight reports to the collector of the hall, or as the collector to those of the
+//!   other halls, and answers those that it receives.
+//! - [`news`] adds to the reports what runners announced about themselves in answers.
+//! - [`flight`] counts the requests in flight at this node and limits their concurrency.
+//! - `avoid` passes over nodes that did not answer, for a while.
+//!
+//! # Deciding
+//!
+//! - [`decider`] plans groups and sends orders to runners while this node holds the decider lease.
+//! - `prober` probes the members of groups for it.
+//!
+//! # Serving callers
+//!
+//! - [`front`] listens for callers and for the balancer, [`request`] admits and routes requests, and
+//!   [`answer`] builds the answers and refusals.
+//! - [`plain`] serves requests with a whole answer. [`stream`] serves streams: `tries` makes one attempt
+//!   after another, `source` reads the events of one attempt, and `relay` passes them on.
+//! - [`attempt`] sends a request to a runner over a [`channel`].
+//! - `dispatch` asks the collector which group takes a request, and answers as the collector.
+//!   `candidates` finds the runners that a request may be sent to.
+//! - `throttle` keeps to the rate limits that runners announced, and `backoff` records which runners
+//!   are backing off.
+//! - `retries` pays for further attempts from the retry budget of the node or the shared pool of the hall.
+//!
+//! # Suspected requests
+//!
+//! - `crash` finds out whether a runner crashed under a request.
+//! - `suspects` exchanges that evidence with other nodes, piggybacked on the queries of [`peer`], and
+//!   decides whether a request may run.
+//! - `suspect_store` keeps the evidence in the store.
+//!
+//! # Process
+//!
+//! - [`program`] runs a node with its settings and signals; [`start`] starts and drains it.
+//! - `suspension` detects that the process did not run for a while.
+//! - [`log`] writes log lines without blocking, and [`telemetry`] serves the metrics.
 
 pub mod answer;
 pub mod attempt;
--- a/crates/node/src/log.rs
+++ b/crates/node/src/log.rs
@@ -136,7 +136,7 @@
         Ok(())
     }
 
-    /// Waits until all lines so far are written, for at most [`FLUSH_TIMEOUT`]. It is called before the
+    /// Waits until all lines so far are written, for at most `FLUSH_TIMEOUT`. It is called before the
     /// process ends, because the writing thread ends with it.
     fn flush(&self) -> std::io::Result<()> {
         let (done, done_receiver) = sync_channel(1);
--- a/crates/node/src/news.rs
+++ b/crates/node/src/news.rs
@@ -16,7 +16,7 @@
     let now = node.now();
     let mut refusing = list_refusing(node);
     if scope == Scope::Hall {
-        refusing.extend(node.refusals.lock().list_here(now).cloned());
+        refusing.extend(node.rejections.lock().list_here(now).cloned());
     }
     News {
         claims: throttle::list_rates(node, scope),
@@ -32,7 +32,7 @@
         Scope::Node => News {
             claims: throttle::list_plain_rates(node),
             leaving: node.roster.lock().list_leaving(),
-            refusing: node.refusals.lock().list(node.now()).cloned().collect(),
+            refusing: node.rejections.lock().list(node.now()).cloned().collect(),
         },
         Scope::Hall => News::default(),
     }
@@ -44,7 +44,7 @@
     for Leaving { runner, life } in &news.leaving {
         node.record_leaving(runner, *life);
     }
-    let (mut refusals, now) = (node.refusals.lock(), node.now());
+    let (mut refusals, now) = (node.rejections.lock(), node.now());
     for runner in &news.refusing {
         refusals.note(runner, scope == Scope::Node, now);
     }
@@ -59,7 +59,7 @@
 /// The runners that have turned requests away for a while, as far as this node knows.
 pub(crate) fn list_lasting(node: &Node) -> BTreeSet<id::Runner> {
     let own = list_refusing(node);
-    let (mut refusals, now) = (node.refusals.lock(), node.now());
+    let (mut refusals, now) = (node.rejections.lock(), node.now());
     for runner in &own {
         refusals.note(runner, true, now);
     }
--- a/crates/node/src/state.rs
+++ b/crates/node/src/state.rs
@@ -94,7 +94,7 @@
     /// What runners reported about themselves in answers.
     pub(crate) feedback: Mutex<Said>,
     /// Rejecting runners, as the nodes report them to each other.
-    pub(crate) refusals: Mutex<refusals::Table>,
+    pub(crate) rejections: Mutex<refusals::Table>,
     /// As the collector of its hall, the hall's shares of the rates of rate-limited runners.
     pub(crate) allocations: Mutex<Rations>,
     /// As the collector, when callers that got no permit for such runners are to retry.
@@ -178,7 +178,7 @@
             invalid_items: Mutex::default(),
             ledger: Mutex::default(),
             feedback: Mutex::default(),
-            refusals: Mutex::default(),
+            rejections: Mutex::default(),
             allocations: Mutex::default(),
             retry_schedule: Mutex::default(),
             fallback_limits: Mutex::default(),
