--- a/crates/node/src/attempt.rs
+++ b/crates/node/src/attempt.rs
@@ -230,7 +230,7 @@
     let backoff = backoff::record(node, &pick.id, pick.incarnation, status, response.headers());
     let verdict = header::read_verdict(status, response.headers(), job.terms.request_id.as_deref());
     if header::is_from_expected(status) && verdict != Verdict::Foreign {
-        throttle::note(node, pick, sent_at, response.headers());
+        throttle::record_rate(node, pick, sent_at, response.headers());
     }
     let attempt = Attempt { pick: pick.clone(), response, channel, guard };
     match verdict {
--- a/crates/node/src/backoff.rs
+++ b/crates/node/src/backoff.rs
@@ -23,7 +23,7 @@
         log::warn!("backoff: {id}: {error}; using {DEFAULT_BACKOFF}");
         Some(DEFAULT_BACKOFF)
     })?;
-    if node.said.lock().backoffs.insert(id, incarnation, span, node.now()) {
+    if node.feedback.lock().backoffs.insert(id, incarnation, span, node.now()) {
         log::info!("backoff: {id} wants no requests for {span}");
     }
     Some(span)
@@ -31,5 +31,5 @@
 
 /// Whether a runner is backing off from this node now.
 pub(crate) fn is_backing_off(node: &Node, id: &id::Runner, incarnation: Option<Incarnation>) -> bool {
-    node.said.lock().backoffs.find_end(id, incarnation, node.now()).is_some()
+    node.feedback.lock().backoffs.find_end(id, incarnation, node.now()).is_some()
 }
--- a/crates/node/src/collect.rs
+++ b/crates/node/src/collect.rs
@@ -40,22 +40,22 @@
     let client = Client::new(Traffic::default());
     loop {
         let settings = node.settings();
-        node.untold.lock().forget(node.now());
-        throttle::forget(&node);
-        let collector = find_collector(&node, &settings.hall, &node.untold.lock());
+        node.unreachable_for_reports.lock().forget(node.now());
+        throttle::remove_gone(&node);
+        let collector = find_collector(&node, &settings.hall, &node.unreachable_for_reports.lock());
         let failed = match collector {
             Some(collector) if collector.node != settings.node => {
                 let told = tell(&node, &client, &collector).await;
                 if told.is_ok() {
                     node.presence.lock().stop_collecting();
-                    node.pool.lock().reset();
+                    node.retry_pool.lock().reset();
                 }
                 told.err().into_iter().collect()
             }
             _ => tell_halls(&node, &client, list_others(&node, &settings.hall)).await,
         };
         for name in failed {
-            node.untold.lock().add(name, node.now() + AVOID);
+            node.unreachable_for_reports.lock().add(name, node.now() + AVOID);
         }
         wait_turn(&node).await;
     }
@@ -82,14 +82,14 @@
 fn list_others(node: &Node, hall: &id::Hall) -> Vec<Peer> {
     let halls: Vec<id::Hall> = node.directory.lock().list_halls().into_iter().cloned().collect();
     let others = halls.iter().filter(|other| *other != hall);
-    others.filter_map(|other| find_collector(node, other, &node.untold.lock())).collect()
+    others.filter_map(|other| find_collector(node, other, &node.unreachable_for_reports.lock())).collect()
 }
 
 /// Tells the collector of this hall. Returns its name if it does not answer.
 async fn tell(node: &Node, client: &Client, collector: &Peer) -> Result<(), id::Node> {
     let asked = node.now();
     let report = write_report(node, Scope::Node, node.sum_in_flight());
-    let told = peer::report(node, client, collector, &report, ANSWER).await;
+    let told = peer::send_report(node, client, collector, &report, ANSWER).await;
     match told {
         Ok(reply) => {
             news::take(node, &reply.feedback, Scope::Hall);
@@ -115,7 +115,7 @@
         let (node, client) = (node.clone(), client.clone());
         let report = write_report(&node, Scope::Hall, sum.clone());
         telling.spawn(async move {
-            let told = peer::report(&node, &client, &collector, &report, ANSWER).await;
+            let told = peer::send_report(&node, &client, &collector, &report, ANSWER).await;
             told.map_err(|error| {
                 log::info!("collect: {} is not told for {AVOID}: {error}", collector.node);
                 collector.node
@@ -129,7 +129,7 @@
 
 fn put_view(node: &Node, others: InFlight, asked: Millis) {
     let known = node.directory.lock().count();
-    node.view.lock().update(others, known, asked);
+    node.fleet_load.lock().update(others, known, asked);
 }
 
 /// What this node tells a collector.
@@ -143,7 +143,7 @@
         sum,
         doubted,
         feedback: news::tell(node, scope),
-        wants: throttle::list_wants(node, scope),
+        wants: throttle::list_demands(node, scope),
     }
 }
 
@@ -167,7 +167,7 @@
         Scope::Node => node.presence.lock().record_report(&report.node, now),
         Scope::Hall => {
             node.presence.lock().record_hall_report(&report.hall, now);
-            node.rations.lock().receive_demands(&report.hall, &report.wants);
+            node.allocations.lock().receive_demands(&report.hall, &report.wants);
         }
     }
     node.reports.lock().insert(report, now);
--- a/crates/node/src/crash.rs
+++ b/crates/node/src/crash.rs
@@ -1,4 +1,4 @@
-//! Finding out whether a runner has ended at which a try broke off.
+//! Finding out whether a runner crashed when an attempt at it broke off.
 
 use std::collections::HashMap;
 use std::io::ErrorKind;
@@ -15,80 +15,82 @@
 
 use crate::attempt::{AttemptError, Job, Pick};
 use crate::channel::{Channel, ChannelError};
-use crate::figures;
 use crate::state::Node;
 use crate::suspects;
+use crate::telemetry;
 
-/// What was found out of a runner holds for this long: all requests that broke off there do
-/// so within some milliseconds, and a new life takes seconds to start.
-const HOLDS: Millis = Millis(500);
+/// How long a finding about a runner is valid. All requests that a crash interrupts break off within
+/// milliseconds, and the next incarnation takes seconds to start.
+const FINDING_TTL: Millis = Millis(500);
 
-/// How long the question which runner answers may take; it does so within milliseconds.
-const ANSWER: Millis = Millis(150);
+/// The timeout of a probe of a runner; a runner answers one within milliseconds.
+const PROBE_TIMEOUT: Millis = Millis(150);
 
-/// A connection that was broken off at once was so within this; one that is not made in time
-/// takes longer to show.
-const REFUSES: Millis = Millis(60);
+/// A probe that fails within this time had its connection closed at once by the runner. A connection
+/// that cannot be established takes longer to fail.
+const EARLY_CLOSE_MAX: Millis = Millis(60);
 
-/// The pause before a runner is asked again that breaks connections off, and how often it is
-/// asked. Without that, the end of a process that closes its connections before its port does not
-/// count, and the request is let run a fourth time.
-const ENDING: Millis = Millis(40);
-const ENDING_TRIES: usize = 3;
+/// The pause before the next probe of a runner that closes connections at once. A process that is ending
+/// may close its connections before its port. Without further probes, such a crash would not count, and
+/// the request would be executed a fourth time.
+const PROBE_PAUSE: Millis = Millis(40);
 
-/// A runner of which nothing could be said is asked again after these pauses: one that ended
-/// is back after some seconds, and its entry may take longer, or the store be away.
-const AGAIN: [Millis; 4] = [Millis(500), Millis(1000), Millis(1500), Millis(2000)];
+/// How often such a runner is probed in total.
+const MAX_PROBES: usize = 3;
 
-/// What became of a runner.
+/// The pauses before the follow-up probes of a runner about which nothing could be found out. A crashed
+/// runner is back after some seconds, but its entry may take longer, or the store be unavailable.
+const FOLLOW_UP_PAUSES: [Millis; 4] = [Millis(500), Millis(1000), Millis(1500), Millis(2000)];
+
+/// The result of an investigation of a runner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Finding {
-    /// Its process has ended without notice.
-    Ended,
-    /// It lives, or has ended as it had announced: what broke was the connection.
-    Sound,
-    /// Nothing can be said: the way there may be cut.
+    /// Its process ended without being announced.
+    Crashed,
+    /// It runs, or ended as announced: only the connection broke.
+    Alive,
+    /// Not known, for example because the network to it is partitioned.
     Unknown,
 }
 
 impl Finding {
-    /// The finding as logs and figures name it.
+    /// Returns the name of the finding in logs and metrics.
     fn name(self) -> &'static str {
         match self {
-            Finding::Ended => "ended",
-            Finding::Sound => "sound",
+            Finding::Crashed => "ended",
+            Finding::Alive => "sound",
             Finding::Unknown => "unknown",
         }
     }
 }
 
-/// A finding, made once for all requests that broke off there.
-type Shared = Arc<OnceCell<Finding>>;
+/// A finding that all requests interrupted at the same runner share.
+type SharedFinding = Arc<OnceCell<Finding>>;
 
-/// What was lately found out of runners.
+/// The recent findings by runner, each with the time when its investigation started.
 #[derive(Debug, Default)]
-pub(crate) struct Findings(HashMap<id::Runner, (Millis, Shared)>);
+pub(crate) struct Findings(HashMap<id::Runner, (Millis, SharedFinding)>);
 
 impl Findings {
-    fn share(&mut self, id: &id::Runner, now: Millis) -> Shared {
-        self.0.retain(|_, (begun, _)| now < *begun + HOLDS);
-        self.0.entry(id.clone()).or_insert_with(|| (now, Shared::default())).1.clone()
+    fn get_or_start(&mut self, id: &id::Runner, now: Millis) -> SharedFinding {
+        self.0.retain(|_, (started, _)| now < *started + FINDING_TTL);
+        self.0.entry(id.clone()).or_insert_with(|| (now, SharedFinding::default())).1.clone()
     }
 }
 
-/// Takes in what a try without an answer says of its request: whether the runner ended under
-/// it. That is found out to its end also where the caller leaves meanwhile.
+/// Finds out whether a runner crashed under a request after an attempt without an answer, and records
+/// the evidence. The investigation completes even if the caller disconnects meanwhile.
 pub(crate) async fn investigate(node: &Arc<Node>, job: &Job, pick: &Pick, error: &AttemptError) {
-    let row = suspects::write_row(node, job, pick);
+    let row = suspects::build_row(node, job, pick);
     match error {
         AttemptError::Broken(_) => {
             let (request, node, pick) = (job.id().to_owned(), node.clone(), pick.clone());
-            let examining = tokio::spawn(async move { judge(&node, &request, &pick, row).await });
-            if let Err(error) = examining.await {
-                log::error!("request {}: what became of its runner is not known: {error}", job.id());
+            let task = tokio::spawn(async move { resolve(&node, &request, &pick, row).await });
+            if let Err(error) = task.await {
+                log::error!("request {}: the investigation of its runner failed: {error}", job.id());
             }
         }
-        AttemptError::Silent(_) => note_break(node, pick, row),
+        AttemptError::Silent(_) => record_interruption(node, pick, row),
         AttemptError::Unreached(_)
         | AttemptError::NotRun(_)
         | AttemptError::Rejected(_)
@@ -97,95 +99,103 @@
     }
 }
 
-async fn judge(node: &Arc<Node>, request: &str, pick: &Pick, row: Row) {
-    let finding = examine(node, pick).await;
-    let life = pick.incarnation.map_or("-".to_owned(), |life| life.to_string());
+/// Logs the finding about an interrupted attempt and records its row accordingly.
+async fn resolve(node: &Arc<Node>, request: &str, pick: &Pick, row: Row) {
+    let finding = find_shared(node, pick).await;
+    let incarnation_text = pick.incarnation.map_or("-".to_owned(), |life| life.to_string());
     log::info!(
-        "request {request}: {} in life {life} is found {} after a try broke off there, fingerprint {}",
+        "request {request}: runner {} in incarnation {incarnation_text} has finding {} after an interrupted attempt, fingerprint {}",
         pick.id,
         finding.name(),
         row.fingerprint
     );
     match finding {
-        Finding::Ended => suspects::take(node, &[row], Origin::Hall),
-        Finding::Sound => {}
-        Finding::Unknown => note_break(node, pick, row),
+        Finding::Crashed => suspects::merge_rows(node, &[row], Origin::Hall),
+        Finding::Alive => {}
+        Finding::Unknown => record_interruption(node, pick, row),
     }
 }
 
-fn note_break(node: &Node, pick: &Pick, row: Row) {
+/// Keeps an attempt until it is known whether its runner crashed.
+fn record_interruption(node: &Node, pick: &Pick, row: Row) {
     let (runner, life, address) = (pick.id.clone(), pick.incarnation, pick.address);
-    node.breaks.lock().record(Interruption { row, runner, incarnation: life, address, at: node.now() });
+    node.interruptions.lock().record(Interruption {
+        row,
+        runner,
+        incarnation: life,
+        address,
+        at: node.now(),
+    });
 }
 
-/// Finds out what became of the runner of a try that broke off.
-async fn examine(node: &Arc<Node>, pick: &Pick) -> Finding {
-    let shared = node.findings.lock().share(&pick.id, node.now());
-    *shared.get_or_init(|| look(node, pick)).await
+/// Returns the finding about the runner of an interrupted attempt, made once for all requests.
+async fn find_shared(node: &Arc<Node>, pick: &Pick) -> Finding {
+    let shared = node.findings.lock().get_or_start(&pick.id, node.now());
+    *shared.get_or_init(|| probe_and_follow(node, pick)).await
 }
 
-async fn look(node: &Arc<Node>, pick: &Pick) -> Finding {
+async fn probe_and_follow(node: &Arc<Node>, pick: &Pick) -> Finding {
     let finding = match is_leaving(node, pick) {
-        true => Finding::Sound,
-        false => ask(node, pick).await,
+        true => Finding::Alive,
+        false => probe(node, pick).await,
     };
-    figures::count_finding(finding.name());
+    telemetry::count_finding(finding.name());
     if finding == Finding::Unknown {
-        tokio::spawn(follow(node.clone(), pick.clone()));
+        tokio::spawn(follow_up(node.clone(), pick.clone()));
     }
     finding
 }
 
-/// Asks a runner again of which nothing could be said.
-async fn follow(node: Arc<Node>, pick: Pick) {
-    for pause in AGAIN {
+/// Probes a runner again about which nothing could be found out.
+async fn follow_up(node: Arc<Node>, pick: Pick) {
+    for pause in FOLLOW_UP_PAUSES {
         tokio::time::sleep(pause.duration()).await;
-        let finding = ask(&node, &pick).await;
+        let finding = probe(&node, &pick).await;
         if finding == Finding::Unknown {
             continue;
         }
-        let rows = node.breaks.lock().take_crashed(&pick.id, pick.incarnation, node.now());
-        if finding == Finding::Ended && !rows.is_empty() {
-            log::info!("crash: {} has ended under {} requests", pick.id, rows.len());
-            suspects::take(&node, &rows, Origin::Hall);
+        let rows = node.interruptions.lock().take_crashed(&pick.id, pick.incarnation, node.now());
+        if finding == Finding::Crashed && !rows.is_empty() {
+            log::info!("crash: {} crashed under {} requests", pick.id, rows.len());
+            suspects::merge_rows(&node, &rows, Origin::Hall);
         }
         return;
     }
 }
 
-/// Whether a runner was about to leave, as far as this node knows.
+/// Whether a runner is known to be leaving, or not known at all.
 fn is_leaving(node: &Node, pick: &Pick) -> bool {
     node.roster.lock().get(&pick.id).is_none_or(|runner| runner.draining)
 }
 
-/// Asks a runner what became of it. One that takes a connection and breaks it off at once is
-/// about to end, or has ended while this was under way: its connections close before its port.
-async fn ask(node: &Node, pick: &Pick) -> Finding {
-    for _ in 1..ENDING_TRIES {
-        let asked = node.now();
-        match ask_once(node, pick).await {
-            Finding::Unknown if node.now().since(asked) < ANSWER.min(REFUSES) => {
-                tokio::time::sleep(ENDING.duration()).await;
+/// Probes a runner. One that accepts a connection and closes it at once is about to end, or ended during
+/// the probe, because its connections close before its port; it is probed again.
+async fn probe(node: &Node, pick: &Pick) -> Finding {
+    for _ in 1..MAX_PROBES {
+        let started = node.now();
+        match probe_once(node, pick).await {
+            Finding::Unknown if node.now().since(started) < PROBE_TIMEOUT.min(EARLY_CLOSE_MAX) => {
+                tokio::time::sleep(PROBE_PAUSE.duration()).await;
             }
             finding => return finding,
         }
     }
-    ask_once(node, pick).await
+    probe_once(node, pick).await
 }
 
-async fn ask_once(node: &Node, pick: &Pick) -> Finding {
+async fn probe_once(node: &Node, pick: &Pick) -> Finding {
     match Channel::open(pick.address).await {
         Ok(_) => {}
         Err(ChannelError::Connect(error)) if error.kind() == ErrorKind::ConnectionRefused => {
-            return Finding::Ended;
+            return Finding::Crashed;
         }
         Err(_) => return Finding::Unknown,
     }
-    let probed = order::probe(&node.client, pick.address, &pick.id, ANSWER).await;
-    match probed.reported {
-        Observation::Gone => Finding::Ended,
-        Observation::Pace(_) if is_later(probed.incarnation, pick.incarnation) => Finding::Ended,
-        Observation::Pace(_) => Finding::Sound,
+    let answer = order::probe(&node.client, pick.address, &pick.id, PROBE_TIMEOUT).await;
+    match answer.reported {
+        Observation::Gone => Finding::Crashed,
+        Observation::Pace(_) if is_later(answer.incarnation, pick.incarnation) => Finding::Crashed,
+        Observation::Pace(_) => Finding::Alive,
         Observation::Silent => Finding::Unknown,
     }
 }
--- a/crates/node/src/dispatch.rs
+++ b/crates/node/src/dispatch.rs
@@ -33,7 +33,7 @@
 pub fn record_first_event(node: &Node, job: &Job, assignment: Assignment, delay: Millis) {
     let (service, Some(model)) = job.model_key() else { return };
     let later = delay.0 as i64 - assignment.expected as i64;
-    let mut samples = node.samples.lock();
+    let mut samples = node.unsent_samples.lock();
     if samples.len() < MAX_SAMPLES {
         samples.push(Sample { service, model, later });
     }
@@ -57,15 +57,15 @@
         urgency,
         patience: job.remaining_time(node.now()),
         tried: list_epochs(node, tried),
-        unwilling: node.list_unwilling(),
+        unwilling: node.list_backing_off(),
         fingerprint: job.fingerprint,
-        samples: std::mem::take(&mut *node.samples.lock()),
+        samples: std::mem::take(&mut *node.unsent_samples.lock()),
     };
     let collector = find_available_collector(node)?;
     if collector.node == settings.node {
         return Some(choose_group(node, &query));
     }
-    match peer::ask_group(node, &collector, &query, COLLECTOR_TIMEOUT).await {
+    match peer::query_group(node, &collector, &query, COLLECTOR_TIMEOUT).await {
         Ok(reply) => Some(reply),
         Err(error) => {
             log::info!("request {}: collector {} did not choose a group: {error}", job.id(), collector.node);
@@ -78,14 +78,14 @@
 /// Returns the collector that this node asks.
 pub(crate) fn find_available_collector(node: &Node) -> Option<Peer> {
     let hall = &node.settings().hall;
-    let mut avoided = node.unanswering.lock();
+    let mut avoided = node.unreachable_for_queries.lock();
     avoided.forget(node.now());
     find_collector(node, hall, &avoided)
 }
 
 /// Stops asking a collector for a while, because it did not answer a query.
 pub(crate) fn avoid_collector(node: &Node, collector: Peer) {
-    node.unanswering.lock().add(collector.node, node.now() + COLLECTOR_AVOID_TIME);
+    node.unreachable_for_queries.lock().add(collector.node, node.now() + COLLECTOR_AVOID_TIME);
 }
 
 fn list_epochs(node: &Node, runners: &[id::Runner]) -> Vec<Epoch> {
@@ -152,7 +152,7 @@
         model,
         speed: &engine.speed,
         trial_groups: &trials,
-        rate_limited: &limited.spent,
+        rate_limited: &limited.exhausted,
     };
     let load = |epoch: Epoch| loads.get(&epoch).copied().unwrap_or(Load::default());
     let mut dispatcher = node.dispatcher.lock();
@@ -160,9 +160,9 @@
         dispatcher.record_sample(sample);
     }
     let Selection { reply, best } = dispatcher.choose(&choice, query, load, now, &mut rand::rng());
-    throttle::note_choice(node, &heads, reply, best, now);
+    throttle::record_choice(node, &heads, reply, best, now);
     if let Reply::Throttled(soonest) = reply {
-        let wait = throttle::plan_return(node, query, &limited, now);
+        let wait = throttle::plan_retry(node, query, &limited, now);
         return Reply::Throttled(wait.map_or(soonest, |wait| wait.0));
     }
     if let (Ruling::Trial, Reply::Take(assignment)) = (ruling, reply) {
@@ -173,7 +173,7 @@
 
 /// Decides whether a request may run, by what this hall knows of the crashes under it.
 fn decide_ruling(node: &Node, query: &Query, groups: usize, now: Millis) -> Ruling {
-    let capacity = node.usual.lock().record(&query.service, Some(&query.model), groups, now);
+    let capacity = node.trial_baseline.lock().record(&query.service, Some(&query.model), groups, now);
     let level = node.suspects.lock().level(&query.fingerprint);
     let mut trials = node.trials.lock();
     trials.finish_at(&query.fingerprint, &query.tried);
--- a/crates/node/src/in_flight.rs
+++ b/crates/node/src/in_flight.rs
@@ -26,7 +26,7 @@
 
     /// Returns the number of requests in flight here that count against a limit.
     pub fn count_running(&self, model_key: &ModelKey) -> u32 {
-        self.limits.lock().get(model_key).map_or(0, Limit::running)
+        self.concurrency_limits.lock().get(model_key).map_or(0, Limit::running)
     }
 
     /// Counts a request against its limit, if the limit has room within `wait`. A request is also
@@ -42,7 +42,7 @@
         loop {
             {
                 let runners_have_room = has_room();
-                let mut limits = self.limits.lock();
+                let mut limits = self.concurrency_limits.lock();
                 let limit = limits.entry(model_key.clone()).or_default();
                 if runners_have_room.unwrap_or(false) || limit.admits() {
                     limit.begin();
@@ -54,14 +54,14 @@
                 return None;
             }
             // On a timeout and on a notification alike, the limit is checked again.
-            let _ = tokio::time::timeout(remaining.duration(), self.ended.notified()).await;
+            let _ = tokio::time::timeout(remaining.duration(), self.request_ended.notified()).await;
         }
     }
 
     /// Counts a request that has an assignment against its limit, whether or not the limit has
     /// room.
     pub fn admit_assigned(self: &Arc<Self>, model_key: &ModelKey) -> LimitGuard {
-        self.limits.lock().entry(model_key.clone()).or_default().begin();
+        self.concurrency_limits.lock().entry(model_key.clone()).or_default().begin();
         LimitGuard { node: self.clone(), model_key: model_key.clone() }
     }
 
@@ -90,12 +90,12 @@
 impl LimitGuard {
     /// Returns the current limit.
     pub fn level(&self) -> f64 {
-        self.node.limits.lock().get(&self.model_key).map_or(0.0, Limit::level)
+        self.node.concurrency_limits.lock().get(&self.model_key).map_or(0.0, Limit::level)
     }
 
     /// Adjusts the limit by whether a first event was in time.
     pub fn record_first_event(&self, in_time: bool) {
-        let mut limits = self.node.limits.lock();
+        let mut limits = self.node.concurrency_limits.lock();
         let limit = limits.entry(self.model_key.clone()).or_default();
         match in_time {
             true => limit.record_on_time(),
@@ -106,10 +106,10 @@
 
 impl Drop for LimitGuard {
     fn drop(&mut self) {
-        if let Some(limit) = self.node.limits.lock().get_mut(&self.model_key) {
+        if let Some(limit) = self.node.concurrency_limits.lock().get_mut(&self.model_key) {
             limit.end();
         }
-        self.node.ended.notify_one();
+        self.node.request_ended.notify_one();
     }
 }
 
--- a/crates/node/src/intake.rs
+++ b/crates/node/src/intake.rs
@@ -13,9 +13,9 @@
 use crate::era;
 use crate::member;
 use crate::plans::read_plan;
-use crate::record;
 use crate::retries;
 use crate::state::Node;
+use crate::suspect_store;
 use crate::unreadable::Part;
 
 /// What was learned.
@@ -55,7 +55,7 @@
         false => take_changes(node, learned.batch),
     };
     if caught_up {
-        node.note_contact(learned.contact);
+        node.record_contact(learned.contact);
         let mut freshness = node.freshness.lock();
         match learned.proven {
             Proof::Read(asked) => freshness.prove_read(asked),
@@ -63,7 +63,7 @@
         }
     }
     if changes > 0 {
-        node.changed.notify_one();
+        node.fleet_changed.notify_one();
     }
 }
 
@@ -80,7 +80,8 @@
             Ok(Change::Runner(runner)) => runners.push(runner),
             Ok(Change::Own(item)) if item.key == LEASE_KEY => decider = Some(decider::read_holder(&item)),
             Ok(Change::Own(item)) => {
-                suspects.extend(record::read_entry(&item).and_then(Result::ok).map(|row| row.fingerprint));
+                suspects
+                    .extend(suspect_store::read_entry(&item).and_then(Result::ok).map(|row| row.fingerprint));
                 nodes.extend(member::read_name(&item.key));
                 take_own(node, &item);
             }
@@ -90,7 +91,7 @@
     log::info!("store: read whole at revision {position}, {} runners", runners.len());
     // What a copy lacks was not removed by operators.
     if !back {
-        record::retain(node, &suspects);
+        suspect_store::retain_entries(node, &suspects);
         node.directory.lock().retain(|name| nodes.contains(name));
         retries::update_budget(node);
     }
@@ -120,7 +121,7 @@
         Ok(Change::Catalog(catalog)) => take_catalog(node, catalog),
         Ok(Change::Runner(runner)) => {
             log::debug!("roster: {} is {:?} draining {}", runner.id, runner.membership, runner.draining);
-            node.put_runner(runner);
+            node.insert_runner(runner);
         }
         Ok(Change::RunnerRemoved(id)) => {
             log::info!("roster: the entry of {id} is gone");
@@ -131,13 +132,13 @@
         }
         Ok(Change::Own(item)) => take_own(node, &item),
         Ok(Change::OwnRemoved(key)) => take_own_gone(node, &key),
-        Ok(Change::Foreign(key)) => node.note_unreadable(&key, Part::Foreign, "key", "nothing of ours"),
+        Ok(Change::Foreign(key)) => node.report_invalid_item(&key, Part::Foreign, "key", "nothing of ours"),
         Err(error @ ItemError::Catalog(_)) => {
-            node.note_unreadable("catalog", Part::Catalog, "form", error);
+            node.report_invalid_item("catalog", Part::Catalog, "form", error);
             return false;
         }
         Err(ItemError::Runner(name, error)) => {
-            node.note_unreadable(&name, Part::Runner, error.reason(), &error);
+            node.report_invalid_item(&name, Part::Runner, error.reason(), &error);
             if let Ok(id) = name.parse() {
                 node.discard_runner(&id);
             }
@@ -157,14 +158,14 @@
                 node.directory.lock().insert(peer);
                 retries::update_budget(node);
             }
-            Err(error) => node.note_unreadable(&item.key, Part::Node, "form", error),
+            Err(error) => node.report_invalid_item(&item.key, Part::Node, "form", error),
         }
         return;
     }
-    if let Some(entry) = record::read_entry(item) {
+    if let Some(entry) = suspect_store::read_entry(item) {
         match entry {
-            Ok(row) => record::take(node, &row),
-            Err(error) => node.note_unreadable(&item.key, Part::Suspect, "form", error),
+            Ok(row) => suspect_store::apply_entry(node, &row),
+            Err(error) => node.report_invalid_item(&item.key, Part::Suspect, "form", error),
         }
         return;
     }
@@ -172,13 +173,13 @@
         Ok(Some((domain, document))) => {
             let mut plans = node.plans.lock();
             plans.insert(domain, document);
-            node.halts.lock().update(&plans, node.now());
+            node.stalls.lock().update(&plans, node.now());
             drop(plans);
             node.plans_changed.send_modify(|version| *version += 1);
         }
-        Ok(None) => node.note_unreadable(&item.key, Part::Foreign, "key", "of no kind that is known"),
+        Ok(None) => node.report_invalid_item(&item.key, Part::Foreign, "key", "of no kind that is known"),
         // The groups that were known go on; the deciding node leaves the domain alone.
-        Err(error) => node.note_unreadable(&item.key, Part::Plan, "form", error),
+        Err(error) => node.report_invalid_item(&item.key, Part::Plan, "form", error),
     }
 }
 
@@ -191,7 +192,7 @@
         }
         node.directory.lock().remove(&name);
         retries::update_budget(node);
-    } else if !record::take_gone(node, key) {
+    } else if !suspect_store::apply_removal(node, key) {
         log::warn!("store: `{key}` was removed");
     }
 }
--- a/crates/node/src/news.rs
+++ b/crates/node/src/news.rs
@@ -16,10 +16,10 @@
     let now = node.now();
     let mut refusing = list_refusing(node);
     if scope == Scope::Hall {
-        refusing.extend(node.refusals.lock().list_local(now).cloned());
+        refusing.extend(node.rejections.lock().list_local(now).cloned());
     }
     Digest {
-        claims: throttle::list_claims(node, scope),
+        claims: throttle::list_rates(node, scope),
         leaving: node.roster.lock().list_leaving(),
         refusing: refusing.into_iter().collect(),
     }
@@ -30,9 +30,9 @@
 pub(crate) fn answer(node: &Node, scope: Scope) -> Digest {
     match scope {
         Scope::Node => Digest {
-            claims: throttle::list_plain_claims(node),
+            claims: throttle::list_plain_rates(node),
             leaving: node.roster.lock().list_leaving(),
-            refusing: node.refusals.lock().list(node.now()).cloned().collect(),
+            refusing: node.rejections.lock().list(node.now()).cloned().collect(),
         },
         Scope::Hall => Digest::default(),
     }
@@ -40,11 +40,11 @@
 
 /// Takes in what another node tells: a node of this hall, or one that speaks for others.
 pub(crate) fn take(node: &Node, news: &Digest, scope: Scope) {
-    throttle::take_claims(node, &news.claims);
+    throttle::receive_rates(node, &news.claims);
     for LeavingRunner { runner, life } in &news.leaving {
         node.record_leaving(runner, *life);
     }
-    let (mut refusals, now) = (node.refusals.lock(), node.now());
+    let (mut refusals, now) = (node.rejections.lock(), node.now());
     for runner in &news.refusing {
         refusals.record(runner, scope == Scope::Node, now);
     }
@@ -59,7 +59,7 @@
 /// The runners that have turned requests away for a while, as far as this node knows.
 pub(crate) fn list_lasting(node: &Node) -> BTreeSet<id::Runner> {
     let own = list_refusing(node);
-    let (mut refusals, now) = (node.refusals.lock(), node.now());
+    let (mut refusals, now) = (node.rejections.lock(), node.now());
     for runner in &own {
         refusals.record(runner, true, now);
     }
@@ -81,7 +81,7 @@
 
 /// What the runners of each hall say of themselves.
 pub(crate) fn measure(node: &Node) -> BTreeMap<id::Hall, Pressure> {
-    let (roster, said, now) = (node.roster.lock(), node.said.lock(), node.now());
+    let (roster, said, now) = (node.roster.lock(), node.feedback.lock(), node.now());
     let mut halls: BTreeMap<id::Hall, Pressure> = BTreeMap::new();
     for runner in roster.iter() {
         let pressure = halls.entry(runner.hall.clone()).or_default();
--- a/crates/node/src/peer.rs
+++ b/crates/node/src/peer.rs
@@ -1,4 +1,5 @@
-//! What nodes ask each other: what the store holds, and what is in flight.
+//! The queries between nodes, both their client and their server: change polls, in-flight reports,
+//! and queries for a group, a permit or a retry.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -25,87 +26,90 @@
 use crate::collect;
 use crate::dispatch;
 use crate::feed::UnpackError;
-use crate::figures;
 use crate::front::pause_accepting;
 use crate::retries;
 use crate::state::Node;
-use crate::suspects::{self, Letter};
-use crate::throttle::{self, Place, Plea};
+use crate::suspects::{self, Envelope};
+use crate::telemetry;
+use crate::throttle::{self, Permit};
 
-/// The path of the question.
-const PATH: &str = "/news";
+/// The path of a change poll.
+const CHANGES_PATH: &str = "/news";
 
-/// The path of the question which group takes a request.
+/// The path of the query for the group that takes a request.
 const GROUP_PATH: &str = "/group";
 
-/// The path of the question for a place at a runner that names a rate.
-const PLACE_PATH: &str = "/place";
+/// The path of the query for a permit to send to a rate-limited runner.
+const PERMIT_PATH: &str = "/place";
 
-/// The path of the question for a retry.
-const LOAN_PATH: &str = "/retry";
+/// The path of the query for a retry token.
+const RETRY_PATH: &str = "/retry";
 
-/// The path of a report of what is in flight.
+/// The path of an in-flight report.
 const REPORT_PATH: &str = "/in-flight";
 
-/// The largest question or report, in bytes: a report has some five bytes for each
-/// group, of which there are a thousand at most, and some hundred for each suspected
-/// request that is new.
-const ASK_MAX: usize = 64 * 1024;
+/// The largest query or report, in bytes. A report has about 5 bytes for each group, of which there
+/// are at most 1000, and about 100 for each suspected request that is new.
+const MAX_QUERY_BYTES: usize = 64 * 1024;
 
-/// How much longer than it asked to wait a question may take until its answer begins, and how
-/// long the answer may pause. All that the store holds takes seconds on the way where many nodes
-/// ask a small box at once.
-const SLACK: Millis = Millis(400);
+/// How long the answer to a change poll may take to begin beyond the wait that the poll asks for, and
+/// how long it may pause. The whole content of the store is in transit for seconds when many nodes
+/// poll a small box at once, so there is no bound for the whole answer.
+const CALL_MARGIN: Millis = Millis(400);
 
-/// A question without news is answered no sooner than this, for each costs a call; a
-/// question waits for 0.7 s on average, as long as a watch of the store.
-const RENEWED: Millis = Millis(200);
+/// The minimum time until a change poll is answered without changes, because each poll costs a call.
+/// A poll waits for 0.7 s on average, as long as a watch of the store.
+const MIN_EMPTY_WAIT: Millis = Millis(200);
 
-/// A question for what is new.
+/// A change poll.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
-pub struct Ask {
-    /// Up to where the asking node knows everything.
+pub struct ChangeQuery {
+    /// The store position up to which the sender has all changes; `None` asks for the whole content.
     pub after: Option<Position>,
-    /// How long to wait for something new, in milliseconds.
+    /// How long to wait for a change, in milliseconds.
     pub wait_ms: u64,
 }
 
-/// What is new.
+/// The answer to a change poll.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Told {
-    /// Up to where this node knows everything.
+pub struct ChangeBatch {
+    /// The store position up to which the answering node has all changes.
     pub position: Position,
-    /// Whether the items are all there are.
+    /// Whether the items are the whole content of the store, not only the changes.
     pub whole: bool,
-    /// How long the answer was held back for something new, in milliseconds.
+    /// How long the answering node waited for a change, in milliseconds.
     pub waited_ms: u64,
-    /// How long ago it was proven that the store held nothing newer, in milliseconds.
+    /// The age of its proof of freshness, in milliseconds.
     pub age_ms: u64,
-    /// For how long this node may have missed changes of the store, in milliseconds.
+    /// How long it may have missed changes of the store, in milliseconds.
     pub silence_ms: u64,
-    /// The items, packed.
+    /// The items, encoded.
     pub items: Bytes,
 }
 
-/// A question without a usable answer.
+/// A change poll without a usable answer.
 #[derive(Debug, Error)]
-pub enum AskError {
-    /// The other node did not answer, or does not know.
+pub enum PollError {
+    /// The other node did not answer, or has no current content.
     #[error(transparent)]
     Call(#[from] CallError),
-    /// Its answer cannot be read.
+    /// Its answer cannot be decoded.
     #[error(transparent)]
     Unpack(#[from] UnpackError),
 }
 
-/// Asks another node for what is new.
-pub async fn ask(client: &Client, address: SocketAddr, question: Ask) -> Result<Told, AskError> {
-    let wait = Millis(question.wait_ms) + SLACK;
-    Ok(client.call_steadily(address, PATH, &question, wait, SLACK).await?)
+/// Polls another node for changes of the store.
+pub async fn poll_changes(
+    client: &Client,
+    address: SocketAddr,
+    query: ChangeQuery,
+) -> Result<ChangeBatch, PollError> {
+    let wait = Millis(query.wait_ms) + CALL_MARGIN;
+    Ok(client.call_steadily(address, CHANGES_PATH, &query, wait, CALL_MARGIN).await?)
 }
 
-/// Tells another node what is in flight. Returns what others have.
-pub async fn report(
+/// Sends an in-flight report to another node. Returns the in-flight requests of the others.
+pub async fn send_report(
     node: &Node,
     client: &Client,
     to: &Peer,
@@ -116,26 +120,31 @@
 }
 
 /// Asks the collector of the hall which group takes a request.
-pub async fn ask_group(node: &Node, to: &Peer, question: &Query, wait: Millis) -> Result<Reply, CallError> {
-    suspects::exchange(node, &node.client, to, GROUP_PATH, question, wait).await
+pub async fn query_group(node: &Node, to: &Peer, query: &Query, wait: Millis) -> Result<Reply, CallError> {
+    suspects::exchange(node, &node.client, to, GROUP_PATH, query, wait).await
 }
 
-/// Asks the collector of the hall for a place at a runner that names a rate.
-pub(crate) async fn ask_place(node: &Node, to: &Peer, plea: &Plea, wait: Millis) -> Result<Place, CallError> {
-    suspects::exchange(node, &node.client, to, PLACE_PATH, plea, wait).await
+/// Asks the collector of the hall for a permit to send to a rate-limited runner.
+pub(crate) async fn query_permit(
+    node: &Node,
+    to: &Peer,
+    query: &throttle::Query,
+    wait: Millis,
+) -> Result<Permit, CallError> {
+    suspects::exchange(node, &node.client, to, PERMIT_PATH, query, wait).await
 }
 
-/// Asks the collector of the hall for a retry. Returns whether it lends one.
-pub(crate) async fn ask_loan(
+/// Asks the collector of the hall for a retry token. Returns whether it grants one.
+pub(crate) async fn query_retry(
     node: &Node,
     to: &Peer,
-    loan: &retries::Query,
+    query: &retries::Query,
     wait: Millis,
 ) -> Result<bool, CallError> {
-    suspects::exchange(node, &node.client, to, LOAN_PATH, loan, wait).await
+    suspects::exchange(node, &node.client, to, RETRY_PATH, query, wait).await
 }
 
-/// Answers other nodes until the process ends.
+/// Answers the queries of other nodes until the process ends.
 pub async fn serve(node: Arc<Node>, listener: TcpListener) {
     loop {
         match listener.accept().await {
@@ -153,125 +162,131 @@
     }
     let service = service_fn(|request: Request<Incoming>| {
         let node = node.clone();
-        async move { Ok::<Answer, Infallible>(answer(&node, request).await) }
+        async move { Ok::<Answer, Infallible>(handle_request(&node, request).await) }
     });
     if let Err(error) = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await {
-        log::debug!("peer: a connection ended with {error}");
+        log::debug!("peer: a connection failed: {error}");
     }
 }
 
-/// What the figures call a question.
-fn find_kind(path: &str) -> &'static str {
+/// Returns the label of a query in metrics.
+fn find_query_kind(path: &str) -> &'static str {
     match path {
-        PATH => "news",
+        CHANGES_PATH => "news",
         GROUP_PATH => "group",
-        PLACE_PATH => "place",
-        LOAN_PATH => "retry",
+        PERMIT_PATH => "place",
+        RETRY_PATH => "retry",
         REPORT_PATH => "report",
         _ => "other",
     }
 }
 
-async fn answer(node: &Node, request: Request<Incoming>) -> Answer {
+async fn handle_request(node: &Node, request: Request<Incoming>) -> Answer {
     let path = request.uri().path().to_owned();
-    let body = Limited::new(request.into_body(), ASK_MAX).collect().await;
+    let body = Limited::new(request.into_body(), MAX_QUERY_BYTES).collect().await;
     let bytes = body.map(|body| body.to_bytes()).unwrap_or_default();
-    let asked = bytes.len();
-    let answer = answer_read(node, &path, bytes).await;
-    let answered = answer.body().size_hint().exact().unwrap_or(0) as usize;
-    figures::count_question(find_kind(&path), asked, answered);
+    let query_bytes = bytes.len();
+    let answer = handle_query(node, &path, bytes).await;
+    let answer_bytes = answer.body().size_hint().exact().unwrap_or(0) as usize;
+    telemetry::count_query(find_query_kind(&path), query_bytes, answer_bytes);
     answer
 }
 
-async fn answer_read(node: &Node, path: &str, bytes: Bytes) -> Answer {
+async fn handle_query(node: &Node, path: &str, bytes: Bytes) -> Answer {
     if path == REPORT_PATH {
-        if let Ok(Letter { question, push }) = rmp_serde::from_slice::<Letter<Report>>(&bytes) {
-            let pull = suspects::answer(node, &push, question.scope);
-            return reply_encoded(&suspects::Reply { answer: collect::take(node, question), pull });
+        if let Ok(Envelope { question, push }) = rmp_serde::from_slice::<Envelope<Report>>(&bytes) {
+            let pull = suspects::receive_push(node, &push, question.scope);
+            return encode_answer(&suspects::EnvelopeReply { answer: collect::take(node, question), pull });
         }
     } else if path == GROUP_PATH {
-        if let Ok(Letter { question, push }) = rmp_serde::from_slice::<Letter<Query>>(&bytes) {
-            let pull = suspects::answer(node, &push, Scope::Node);
-            return reply_encoded(&suspects::Reply { answer: dispatch::answer_query(node, question), pull });
+        if let Ok(Envelope { question, push }) = rmp_serde::from_slice::<Envelope<Query>>(&bytes) {
+            let pull = suspects::receive_push(node, &push, Scope::Node);
+            return encode_answer(&suspects::EnvelopeReply {
+                answer: dispatch::answer_query(node, question),
+                pull,
+            });
         }
-    } else if path == PLACE_PATH {
-        if let Ok(Letter { question, push }) = rmp_serde::from_slice::<Letter<Plea>>(&bytes) {
-            let pull = suspects::answer(node, &push, Scope::Node);
-            return reply_encoded(&suspects::Reply { answer: throttle::give_place(node, &question), pull });
+    } else if path == PERMIT_PATH {
+        if let Ok(Envelope { question, push }) = rmp_serde::from_slice::<Envelope<throttle::Query>>(&bytes) {
+            let pull = suspects::receive_push(node, &push, Scope::Node);
+            return encode_answer(&suspects::EnvelopeReply {
+                answer: throttle::grant_permit(node, &question),
+                pull,
+            });
         }
-    } else if path == LOAN_PATH {
-        if let Ok(Letter { question, push }) = rmp_serde::from_slice::<Letter<retries::Query>>(&bytes) {
-            let pull = suspects::answer(node, &push, Scope::Node);
-            return reply_encoded(&suspects::Reply { answer: retries::grant(node, &question), pull });
+    } else if path == RETRY_PATH {
+        if let Ok(Envelope { question, push }) = rmp_serde::from_slice::<Envelope<retries::Query>>(&bytes) {
+            let pull = suspects::receive_push(node, &push, Scope::Node);
+            return encode_answer(&suspects::EnvelopeReply { answer: retries::grant(node, &question), pull });
         }
-    } else if path == PATH
-        && let Ok(question) = rmp_serde::from_slice::<Ask>(&bytes)
+    } else if path == CHANGES_PATH
+        && let Ok(query) = rmp_serde::from_slice::<ChangeQuery>(&bytes)
     {
-        return tell(node, question).await;
+        return answer_change_query(node, query).await;
     }
-    log::warn!("peer: a question to {path} that cannot be read, {} bytes", bytes.len());
-    reply(StatusCode::BAD_REQUEST, Bytes::new())
+    log::warn!("peer: a query to {path} cannot be decoded, {} bytes", bytes.len());
+    build_answer(StatusCode::BAD_REQUEST, Bytes::new())
 }
 
-async fn tell(node: &Node, question: Ask) -> Answer {
+async fn answer_change_query(node: &Node, query: ChangeQuery) -> Answer {
     let started = node.now();
     let mut serving = node.feed.subscribe_serving();
     tokio::select! {
-        () = wait_newer(node, question) => {}
-        // The sender lives as long as the node.
+        () = wait_for_changes(node, query) => {}
+        // This cannot fail: the sender lives as long as the node.
         _ = serving.wait_for(|serving| !serving) => {}
     }
     if !*serving.borrow() {
-        return reply(StatusCode::SERVICE_UNAVAILABLE, Bytes::new());
+        return build_answer(StatusCode::SERVICE_UNAVAILABLE, Bytes::new());
     }
     let age = node.freshness.lock().age(node.now());
-    let news = match node.feed.read_packed(question.after) {
-        Ok(news) => news,
-        Err(error) => return fail_encoding(&error),
+    let batch = match node.feed.read_packed(query.after) {
+        Ok(batch) => batch,
+        Err(error) => return report_encode_error(&error),
     };
-    let Some(((news, age), silence)) = news.zip(age).zip(node.silence()) else {
-        return reply(StatusCode::SERVICE_UNAVAILABLE, Bytes::new());
+    let Some(((batch, age), staleness)) = batch.zip(age).zip(node.staleness()) else {
+        return build_answer(StatusCode::SERVICE_UNAVAILABLE, Bytes::new());
     };
-    reply_encoded(&Told {
-        position: news.position,
-        whole: news.whole,
+    encode_answer(&ChangeBatch {
+        position: batch.position,
+        whole: batch.whole,
         waited_ms: node.now().since(started).0,
         age_ms: age.0,
-        silence_ms: silence.0,
-        items: news.items,
+        silence_ms: staleness.0,
+        items: batch.items,
     })
 }
 
-fn reply_encoded<M: Serialize>(message: &M) -> Answer {
+fn encode_answer<M: Serialize>(message: &M) -> Answer {
     match rmp_serde::to_vec(message) {
-        Ok(bytes) => reply(StatusCode::OK, bytes.into()),
-        Err(error) => fail_encoding(&error),
+        Ok(bytes) => build_answer(StatusCode::OK, bytes.into()),
+        Err(error) => report_encode_error(&error),
     }
 }
 
-fn fail_encoding(error: &rmp_serde::encode::Error) -> Answer {
-    log::error!("peer: an answer could not be encoded: {error}");
-    reply(StatusCode::INTERNAL_SERVER_ERROR, Bytes::new())
+fn report_encode_error(error: &rmp_serde::encode::Error) -> Answer {
+    log::error!("peer: cannot encode an answer: {error}");
+    build_answer(StatusCode::INTERNAL_SERVER_ERROR, Bytes::new())
 }
 
-/// Waits until there is something newer than the asking node has, or its time is over. An
-/// answer without news is given when this node has just been in contact with the store
-/// itself, so that those that ask it are hardly longer without than it is.
-async fn wait_newer(node: &Node, question: Ask) {
-    let Some(after) = question.after else { return };
-    let least = node.now() + RENEWED;
+/// Waits until this node has a change that the polling node lacks, or the wait of the poll is over.
+/// It also returns without a change when this node renews its contact with the store, so that the
+/// staleness of a polling node is hardly longer than that of this one.
+async fn wait_for_changes(node: &Node, query: ChangeQuery) {
+    let Some(after) = query.after else { return };
+    let min_contact = node.now() + MIN_EMPTY_WAIT;
     let mut position = node.feed.subscribe();
-    let mut contact = node.contact.subscribe();
+    let mut last_contact = node.last_contact.subscribe();
     let newer = position.wait_for(|position| position.is_some_and(|position| position > after));
-    let renewed = contact.wait_for(|contact| contact.is_some_and(|contact| contact > least));
+    let renewed = last_contact.wait_for(|contact| contact.is_some_and(|contact| contact > min_contact));
     let either = async {
-        // Whichever comes first: the feed is read next, and says what there is.
+        // The caller reads the feed next, whichever of the two came first.
         tokio::select! { _ = newer => {} _ = renewed => {} }
     };
-    let _ = tokio::time::timeout(Millis(question.wait_ms).duration(), either).await;
+    let _ = tokio::time::timeout(Millis(query.wait_ms).duration(), either).await;
 }
 
-fn reply(status: StatusCode, bytes: Bytes) -> Answer {
+fn build_answer(status: StatusCode, bytes: Bytes) -> Answer {
     let mut answer = Response::new(Body::Whole(Some(bytes)));
     *answer.status_mut() = status;
     answer
--- a/crates/node/src/plain.rs
+++ b/crates/node/src/plain.rs
@@ -13,11 +13,11 @@
 use crate::attempt::{Attempt, AttemptError, Job, Pick, send};
 use crate::candidates::{has_unlimited, pick_by_id, pick_locally as pick_free, refuse_if_backing_off};
 use crate::crash;
-use crate::figures;
 use crate::retries;
 use crate::state::Node;
 use crate::suspects;
-use crate::throttle::{self, Place};
+use crate::telemetry;
+use crate::throttle::{self, Permit};
 
 /// The largest answer that is buffered, in bytes.
 const MAX_ANSWER_BYTES: usize = 4 << 20;
@@ -37,23 +37,23 @@
         if job.is_expired(node) {
             return Err(Refusal::DeadlineExceeded);
         }
-        match suspects::rule(node, job) {
+        match suspects::decide(node, job) {
             Ruling::Run | Ruling::Trial => {}
             Ruling::Reject => return Err(Refusal::Deadly),
             Ruling::Quarantine if may_have_run => break,
             Ruling::Quarantine => return Err(Refusal::Quarantined),
         }
-        let pick = match throttle::ask(node, job, &tried).await {
-            Some(Place::Take(runner)) => pick_by_id(node, job, &runner),
-            Some(Place::Wait(wait)) if !has_unlimited(node, job, &tried) => {
+        let pick = match throttle::query_permit(node, job, &tried).await {
+            Some(Permit::Take(runner)) => pick_by_id(node, job, &runner),
+            Some(Permit::Wait(wait)) if !has_unlimited(node, job, &tried) => {
                 permit_wait = Some(wait);
                 break;
             }
-            Some(Place::Free(claims)) => {
-                throttle::take_claims(node, &claims);
+            Some(Permit::Free(claims)) => {
+                throttle::receive_rates(node, &claims);
                 None
             }
-            Some(Place::Wait(_)) | None => None,
+            Some(Permit::Wait(_)) | None => None,
         };
         let Some(pick) = pick.or_else(|| pick_free(node, job, &tried)) else { break };
         if reached_runner && !retries::spend(node, job).await {
@@ -62,7 +62,7 @@
         tried.push(pick.id.clone());
         let outcome = tokio::select! {
             outcome = send_and_read(node, job, &pick) => outcome,
-            () = suspects::wait_deadly(node, job) => Err(AttemptError::Stopped),
+            () = suspects::wait_until_deadly(node, job) => Err(AttemptError::Stopped),
         };
         match outcome {
             Ok(answer) => {
@@ -70,7 +70,7 @@
                 return Ok(answer);
             }
             Err(error) => {
-                figures::count_failed_attempt(error.reason());
+                telemetry::count_failed_attempt(error.reason());
                 log::info!("request {}: try {} at {}: {error}", job.id(), tried.len(), pick.id);
                 reached_runner |= error.has_reached_runner();
                 crash::investigate(node, job, &pick, &error).await;
--- a/crates/node/src/relay.rs
+++ b/crates/node/src/relay.rs
@@ -9,11 +9,11 @@
 
 use crate::answer::Refusal;
 use crate::attempt::{AttemptError, Job};
-use crate::figures;
 use crate::in_flight::{LimitGuard, RequestGuard};
 use crate::runner_stream::{RunnerStream, SILENCE_TIMEOUT, StreamItem, read_next_events};
 use crate::state::Node;
-use crate::suspects::{record_completed, wait_deadly};
+use crate::suspects::{record_completed, wait_until_deadly};
+use crate::telemetry;
 use crate::tries::{Tries, start_next_attempt};
 
 /// Forwards the rest of a stream.
@@ -51,7 +51,7 @@
             outcome = self.forward() => match outcome {
                 Ok(()) => {}
                 Err(refusal) => {
-                    figures::count_cut();
+                    telemetry::count_cut_stream();
                     log::warn!("request {request}: the stream is cut: {refusal}");
                     // If the caller has left too, nobody needs the cut.
                     let _ = sender.send(Err(Cut)).await;
@@ -59,7 +59,7 @@
             },
             () = sender.closed() => log::info!("request {request}: the caller left"),
             () = node.wait_until(job.deadline) => {
-                figures::count_cut();
+                telemetry::count_cut_stream();
                 log::warn!("request {request}: the stream is cut: the deadline has passed");
                 let _ = sender.try_send(Err(Cut));
             }
@@ -111,7 +111,7 @@
                 self.node.ledger.lock().record_failure(&pick.id, self.node.now());
                 Err(AttemptError::Silent(format!("no event for {SILENCE_TIMEOUT}")))
             }),
-            () = wait_deadly(&self.node, &self.job) => Err(AttemptError::Stopped),
+            () = wait_until_deadly(&self.node, &self.job) => Err(AttemptError::Stopped),
             () = pick.wait_lost(&self.node), if self.job.route.is_repeatable() => {
                 Err(AttemptError::MayHaveRun("its group lost a member".to_owned()))
             }
--- a/crates/node/src/request.rs
+++ b/crates/node/src/request.rs
@@ -19,7 +19,7 @@
 use crate::candidates::refuse_if_backing_off;
 use crate::in_flight::RequestGuard;
 use crate::state::Node;
-use crate::{figures, plain, stream, suspects};
+use crate::{plain, stream, suspects, telemetry};
 
 /// The largest priority number that a runner is sent. 0 is the most urgent.
 const MAX_PRIORITY: u8 = 9;
@@ -52,10 +52,10 @@
         Err(refusal) => Err(refusal),
     };
     let waited = node.now().since(arrived);
-    figures::count_request(kind, outcome.as_ref().err().map_or("answered", Refusal::reason));
+    telemetry::count_request(kind, outcome.as_ref().err().map_or("answered", Refusal::reason));
     match outcome {
         Ok(answer) => {
-            figures::record_first(kind, waited);
+            telemetry::record_first_event(kind, waited);
             answer
         }
         Err(refusal) => {
@@ -76,7 +76,7 @@
 }
 
 async fn run(node: &Arc<Node>, job: Arc<Job>, request_guard: RequestGuard) -> Result<Answer, Refusal> {
-    node.retries.lock().deposit();
+    node.retry_budget.lock().deposit();
     if suspects::is_deadly(node, &job) {
         return Err(Refusal::Deadly);
     }
@@ -138,7 +138,7 @@
 /// configuration may have it. Then the caller may retry, and another node may know the route or
 /// key.
 fn replace_if_stale(node: &Node, refusal: Refusal) -> Refusal {
-    if node.knows_catalog() { refusal } else { Refusal::StaleConfig }
+    if node.has_current_catalog() { refusal } else { Refusal::StaleConfig }
 }
 
 fn find_route(catalog: &Catalog, head: &Parts) -> Result<Arc<Route>, Refusal> {
--- a/crates/node/src/retries.rs
+++ b/crates/node/src/retries.rs
@@ -9,9 +9,9 @@
 
 use crate::attempt::Job;
 use crate::dispatch::{COLLECTOR_TIMEOUT, avoid_collector, find_available_collector};
-use crate::figures;
 use crate::peer;
 use crate::state::Node;
+use crate::telemetry;
 
 /// The fraction of the fleet's allowed retries that is used. The rest covers requests that arrive
 /// twice in other ways.
@@ -37,7 +37,7 @@
 /// Sets this node's retry budget to its share of what the fleet may accumulate.
 pub(crate) fn update_budget(node: &Node) {
     let share = compute_share(node);
-    let mut retries = node.retries.lock();
+    let mut retries = node.retry_budget.lock();
     retries.set_ratio(compute_ratio(node) * share.budget_fraction());
     retries.set_capacity(share.budget);
 }
@@ -48,35 +48,35 @@
     let now = node.now();
     let nodes = node.reports.lock().count_nodes(now) + 1;
     let window = node.settings().bounds.retry_window;
-    node.pool.lock().set_capacity(compute_share(node).pooled * nodes as f64, window, now);
+    node.retry_pool.lock().set_capacity(compute_share(node).pooled * nodes as f64, window, now);
 }
 
 /// As the collector, credits the pool for a request of its hall.
 pub(crate) fn deposit_pooled(node: &Node) {
     let deposit = compute_ratio(node) * (1.0 - compute_share(node).budget_fraction());
-    node.pool.lock().deposit(deposit);
+    node.retry_pool.lock().deposit(deposit);
 }
 
 /// As the collector, grants a retry if the pool has one.
 pub(crate) fn grant(node: &Node, query: &Query) -> bool {
-    let granted = node.pool.lock().grant();
+    let granted = node.retry_pool.lock().grant();
     if !granted {
         log::info!("retries: {} gets none, the pool of the hall is empty", query.node);
     }
-    figures::count_loan(granted);
+    telemetry::count_retry_grant(granted);
     granted
 }
 
 /// Pays for sending a request again. Returns false if that is not allowed.
 pub(crate) async fn spend(node: &Arc<Node>, job: &Job) -> bool {
-    if node.retries.lock().withdraw() {
+    if node.retry_budget.lock().withdraw() {
         return true;
     }
     let Some(collector) = find_available_collector(node) else { return deny(job, "no collector to ask") };
     let query = Query { node: node.settings().node.clone() };
     let granted = match collector.node == query.node {
         true => grant(node, &query),
-        false => match peer::ask_loan(node, &collector, &query, COLLECTOR_TIMEOUT).await {
+        false => match peer::query_retry(node, &collector, &query, COLLECTOR_TIMEOUT).await {
             Ok(granted) => granted,
             Err(error) => {
                 avoid_collector(node, collector);
--- a/crates/node/src/runner_stream.rs
+++ b/crates/node/src/runner_stream.rs
@@ -12,7 +12,7 @@
 use crate::channel::Channel;
 use crate::in_flight::AttemptGuard;
 use crate::state::Node;
-use crate::suspects::wait_deadly;
+use crate::suspects::wait_until_deadly;
 
 /// A runner that sends nothing for this long is abandoned. All nodes learn sooner than that of a
 /// group that lost a member, and a group that is only busy must not get the same requests twice.
@@ -62,7 +62,7 @@
     tokio::pin!(waiting);
     let group_lost = pick.wait_lost(node);
     tokio::pin!(group_lost);
-    let deadly = wait_deadly(node, job);
+    let deadly = wait_until_deadly(node, job);
     tokio::pin!(deadly);
     loop {
         tokio::select! {
--- a/crates/node/src/start.rs
+++ b/crates/node/src/start.rs
@@ -1,4 +1,4 @@
-//! Starting and stopping a node.
+//! Starting and draining a node.
 
 use std::io;
 use std::sync::Arc;
@@ -9,15 +9,15 @@
 use tokio::task::JoinSet;
 
 use crate::state::Node;
-use crate::{collect, decider, front, member, peer, presence, pulse, record, sync};
+use crate::{collect, decider, front, member, peer, presence, suspect_store, suspension, sync};
 
-/// Kept of the time between the order to stop and the kill.
-const GRACE_MARGIN: Millis = Millis(700);
+/// The part of the time between the stop signal and the kill that is not used for draining.
+const STOP_MARGIN: Millis = Millis(700);
 
-/// How often a node that is about to stop looks whether its requests are answered.
-const LOOK: Millis = Millis(50);
+/// How often a draining node checks whether its requests are answered.
+const POLL_INTERVAL: Millis = Millis(50);
 
-/// The ports of a node.
+/// The listening sockets of a node.
 pub struct Listeners {
     /// For callers.
     pub callers: TcpListener,
@@ -28,7 +28,7 @@
 }
 
 impl Listeners {
-    /// Opens the ports that the settings name.
+    /// Binds the addresses of the settings.
     pub async fn bind(settings: &Settings) -> io::Result<Listeners> {
         Ok(Listeners {
             callers: TcpListener::bind(settings.callers).await?,
@@ -38,7 +38,7 @@
     }
 }
 
-/// Starts everything a node does. It ends when the tasks are dropped.
+/// Starts all tasks of a node. They end when the returned set is dropped.
 pub fn start(node: &Arc<Node>, listeners: Listeners) -> JoinSet<()> {
     let mut tasks = JoinSet::new();
     tasks.spawn(sync::run(node.clone()));
@@ -46,8 +46,8 @@
     tasks.spawn(member::run(node.clone()));
     tasks.spawn(presence::run(node.clone()));
     tasks.spawn(collect::run(node.clone()));
-    tasks.spawn(record::run(node.clone()));
-    tasks.spawn(pulse::run(node.clone()));
+    tasks.spawn(suspect_store::run(node.clone()));
+    tasks.spawn(suspension::run(node.clone()));
     tasks.spawn(peer::serve(node.clone(), listeners.peers));
     tasks.spawn(decider::run(node.clone()));
     tasks.spawn(front::serve_readiness(node.clone(), listeners.ready));
@@ -55,17 +55,19 @@
     tasks
 }
 
-/// Tells the balancer, takes callers until it must have noticed, and then waits
-/// until those there are have their answers, as far as the time allows. What
-/// would be taken later might not be finished before the kill.
+/// Drains the node before it stops.
+///
+/// The node reports that it is not ready and accepts requests until the balancer must have noticed. Then
+/// it rejects new requests, which might not finish before the kill, and waits for those in flight as long
+/// as the grace period allows.
 pub async fn drain(node: &Node) {
-    let end = node.now() + (node.settings().bounds.grace - GRACE_MARGIN);
-    log::info!("node: told to stop, {} requests under way", node.running());
+    let end = node.now() + (node.settings().bounds.grace - STOP_MARGIN);
+    log::info!("node: received a stop signal, {} requests in flight", node.running());
     node.draining.send_replace(true);
     tokio::time::sleep(front::DRAIN_NOTICE.duration()).await;
     node.closed.send_replace(true);
     while node.running() > 0 && node.now() < end {
-        tokio::time::sleep(LOOK.duration()).await;
+        tokio::time::sleep(POLL_INTERVAL.duration()).await;
     }
     log::info!("node: stops, {} requests under way", node.running());
 }
--- a/crates/node/src/figures.rs
+++ b/crates/node/src/telemetry.rs
@@ -1,4 +1,4 @@
-//! The figures of a node, as the metrics port shows them.
+//! The metrics of a node and the port that serves them.
 
 use std::collections::VecDeque;
 use std::convert::Infallible;
@@ -22,88 +22,87 @@
 use crate::news::{self, Pressure};
 use crate::state::Node;
 
-/// The port of the figures, on the address that other nodes use. Also named in
-/// deploy/system.toml.
+/// The metrics port, at the address that other nodes use. It is also written in deploy/system.toml.
 pub const PORT: u16 = 9464;
 
-/// How often figures that are states are taken.
-const SAMPLE: Millis = Millis(1000);
+/// How often gauges are sampled.
+const SAMPLE_INTERVAL: Millis = Millis(1000);
 
-/// How many samples the highest age of the proof is taken of: figures that are fetched
-/// less often than that miss what came between.
-const SAMPLES: usize = 10;
+/// The number of samples over which the maximum age of the proof of freshness is taken. It has to cover
+/// the interval at which metrics are scraped, because a scrape sees no peak before that.
+const AGE_SAMPLES: usize = 10;
 
-/// The bounds of latency histograms, in seconds: around what is wanted of first
-/// events today, 0.15 to 0.5 s.
-const LATENCY: [f64; 9] = [0.05, 0.1, 0.15, 0.2, 0.3, 0.5, 1.0, 2.0, 5.0];
+/// The bounds of latency histograms, in seconds. They are densest around the targets for first events,
+/// 0.15 to 0.5 s.
+const LATENCY_BUCKETS: [f64; 9] = [0.05, 0.1, 0.15, 0.2, 0.3, 0.5, 1.0, 2.0, 5.0];
 
-/// A request was answered, or its answer has begun. `outcome` is `answered` or
-/// the reason of the refusal.
+/// Counts a request whose answer has begun or is complete. `outcome` is `answered` or the reason of the
+/// refusal.
 pub fn count_request(kind: &'static str, outcome: &'static str) {
     metrics::counter!("cottoncrank_requests_total", "kind" => kind, "outcome" => outcome).increment(1);
 }
 
-/// A runner was tried without success.
+/// Counts a failed attempt at a runner.
 pub fn count_failed_attempt(reason: &'static str) {
     metrics::counter!("cottoncrank_attempts_failed_total", "reason" => reason).increment(1);
 }
 
-/// Another node has put a question of this kind, of so many bytes, and got an answer.
-pub fn count_question(kind: &'static str, asked: usize, answered: usize) {
+/// Counts an answered query of another node, with the bytes of both.
+pub fn count_query(kind: &'static str, query_bytes: usize, answer_bytes: usize) {
     metrics::counter!("cottoncrank_questions_total", "kind" => kind).increment(1);
     metrics::counter!("cottoncrank_question_bytes_total", "kind" => kind, "direction" => "in")
-        .increment(asked as u64);
+        .increment(query_bytes as u64);
     metrics::counter!("cottoncrank_question_bytes_total", "kind" => kind, "direction" => "out")
-        .increment(answered as u64);
+        .increment(answer_bytes as u64);
 }
 
-/// This node, which decides, has put so many questions to runners.
+/// Counts queries of the decider to runners.
 pub fn count_probes(count: usize) {
     metrics::counter!("cottoncrank_runner_questions_total").increment(count as u64);
 }
 
-/// A look of the deciding node at the fleet took so long.
-pub fn record_look(took: Millis) {
+/// Records the duration of one planning pass of the decider over the fleet.
+pub fn record_planning_time(took: Millis) {
     metrics::histogram!("cottoncrank_look_seconds").record(took.0 as f64 / 1000.0);
 }
 
-/// A node of this hall was lent a retry, or there was none.
-pub fn count_loan(lent: bool) {
-    let outcome = if lent { "lent" } else { "none" };
+/// Counts the answer to a retry query: granted, or none left in the shared retry pool.
+pub fn count_retry_grant(granted: bool) {
+    let outcome = if granted { "lent" } else { "none" };
     metrics::counter!("cottoncrank_retries_lent_total", "outcome" => outcome).increment(1);
 }
 
-/// A runner of a hall that names a rate has answered a request of this node.
-pub fn count_limited(hall: &id::Hall) {
+/// Counts a request of this node that a rate-limited runner of `hall` has answered.
+pub fn count_rate_limited(hall: &id::Hall) {
     metrics::counter!("cottoncrank_limited_sent_total", "hall" => hall.to_string()).increment(1);
 }
 
-/// The process did not run for a while.
-pub fn count_gap(gap: &Suspension) {
-    let kind = match gap {
+/// Counts a suspension of this process.
+pub fn count_suspension(suspension: &Suspension) {
+    let kind = match suspension {
         Suspension::Suspended(_) => "suspended",
         Suspension::Frozen(_) => "frozen",
     };
     metrics::counter!("cottoncrank_gaps_total", "kind" => kind).increment(1);
 }
 
-/// The store came back from an older copy.
+/// Counts a restore of the store from an older copy.
 pub fn count_era() {
     metrics::counter!("cottoncrank_store_eras_total").increment(1);
 }
 
-/// Something that was in force here is kept, for the store has an older one or none.
-pub fn count_carried(kind: &'static str) {
+/// Counts an item that this node keeps in force because the restored store has an older one or none.
+pub fn count_carried_item(kind: &'static str) {
     metrics::counter!("cottoncrank_items_carried_total", "kind" => kind).increment(1);
 }
 
-/// What became of a runner whose connection broke.
+/// Counts a finding about a runner whose connection broke.
 pub fn count_finding(finding: &'static str) {
     metrics::counter!("cottoncrank_broken_runners_total", "finding" => finding).increment(1);
 }
 
-/// The level of suspicion of a request has changed.
-pub fn count_suspect(level: &Level) {
+/// Counts a change of the level of a suspected request.
+pub fn count_level_change(level: &Level) {
     let level = match level {
         Level::Clear => "clear",
         Level::Suspected(_) => "suspected",
@@ -113,43 +112,42 @@
     metrics::counter!("cottoncrank_suspects_total", "level" => level).increment(1);
 }
 
-/// A source of what the store holds gave nothing that can be used: one of the nodes or
-/// the store itself.
+/// Counts a failure of a source of the store's content, which is another node or the store itself.
 pub fn count_source_failure(source: &'static str, reason: &'static str) {
     metrics::counter!("cottoncrank_sources_failed_total", "source" => source, "reason" => reason)
         .increment(1);
 }
 
-/// An item of the store cannot be read: what it is, and why.
-pub fn count_unreadable(part: &'static str, reason: &'static str) {
+/// Counts an invalid item of the store by its kind and the reason.
+pub fn count_invalid_item(part: &'static str, reason: &'static str) {
     metrics::counter!("cottoncrank_items_unreadable_total", "part" => part, "reason" => reason).increment(1);
 }
 
-/// A stream was cut after its first event.
-pub fn count_cut() {
+/// Counts a stream that was cut after its first event.
+pub fn count_cut_stream() {
     metrics::counter!("cottoncrank_streams_cut_total").increment(1);
 }
 
-/// The first event, or the whole of a plain answer, came after `wait`.
-pub fn record_first(kind: &'static str, wait: Millis) {
+/// Records the delay of the first event of a stream, or of a whole plain answer.
+pub fn record_first_event(kind: &'static str, wait: Millis) {
     metrics::histogram!("cottoncrank_first_event_seconds", "kind" => kind).record(wait.0 as f64 / 1000.0);
 }
 
-/// Installs the recorder. Only the first call of a process can.
+/// Installs the global recorder. Returns `None` if this process has one already.
 pub fn install() -> Option<PrometheusHandle> {
-    let builder = PrometheusBuilder::new().set_buckets(&LATENCY).ok()?;
+    let builder = PrometheusBuilder::new().set_buckets(&LATENCY_BUCKETS).ok()?;
     let recorder = builder.build_recorder();
     let handle = recorder.handle();
     metrics::set_global_recorder(recorder).ok().map(|()| handle)
 }
 
-/// Takes figures that are states, until the process ends.
-pub async fn sample(node: Arc<Node>) {
+/// Samples the gauges until the process ends.
+pub async fn sample_gauges(node: Arc<Node>) {
     let mut ages = VecDeque::new();
     loop {
         let age = node.freshness.lock().age(node.now()).map_or(-1.0, |age| age.0 as f64 / 1000.0);
         ages.push_back(age);
-        if ages.len() > SAMPLES {
+        if ages.len() > AGE_SAMPLES {
             ages.pop_front();
         }
         metrics::gauge!("cottoncrank_store_proof_age_seconds").set(age);
@@ -169,18 +167,18 @@
         metrics::gauge!("cottoncrank_config_version").set(version as f64);
         let groups = node.plans.lock().values().map(|plan| plan.groups.len()).sum::<usize>();
         metrics::gauge!("cottoncrank_groups_planned").set(groups as f64);
-        for ((_, model), limit) in node.limits.lock().iter() {
+        for ((_, model), limit) in node.concurrency_limits.lock().iter() {
             let model = model.as_ref().map_or(String::new(), ToString::to_string);
             metrics::gauge!("cottoncrank_limit", "model" => model).set(limit.level());
         }
         for (hall, pressure) in news::measure(&node) {
-            show_pressure(hall.as_str(), &pressure);
+            set_pressure(hall.as_str(), &pressure);
         }
-        tokio::time::sleep(SAMPLE.duration()).await;
+        tokio::time::sleep(SAMPLE_INTERVAL.duration()).await;
     }
 }
 
-fn show_pressure(hall: &str, pressure: &Pressure) {
+fn set_pressure(hall: &str, pressure: &Pressure) {
     let set = |state: &'static str, count: usize| {
         metrics::gauge!("cottoncrank_runners_saying", "hall" => hall.to_owned(), "state" => state)
             .set(count as f64);
@@ -192,7 +190,7 @@
         .set(pressure.allowed.0 as f64 / 1000.0);
 }
 
-/// Shows the figures until the process ends.
+/// Serves the metrics until the process ends.
 pub async fn serve(listener: TcpListener, handle: PrometheusHandle) {
     loop {
         match listener.accept().await {
@@ -200,7 +198,7 @@
                 let handle = handle.clone();
                 tokio::spawn(async move {
                     let service = service_fn(move |_: Request<Incoming>| {
-                        let answer = show(&handle);
+                        let answer = render(&handle);
                         async move { Ok::<Answer, Infallible>(answer) }
                     });
                     if let Err(error) =
@@ -215,7 +213,7 @@
     }
 }
 
-fn show(handle: &PrometheusHandle) -> Answer {
+fn render(handle: &PrometheusHandle) -> Answer {
     handle.run_upkeep();
     let mut answer = Response::new(Body::Whole(Some(Bytes::from(handle.render()))));
     answer.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("text/plain; version=0.0.4"));
--- a/crates/node/src/throttle.rs
+++ b/crates/node/src/throttle.rs
@@ -1,13 +1,14 @@
-//! Runners that name a rate: taking in what they say, telling it, and keeping to it.
+//! Rate-limited runners: recording the rates that they announce, exchanging the rates between nodes, and
+//! sending no more requests than they allow.
 //!
-//! The collector of a hall lets each request of the hall go there: where it chooses the group, in
-//! the same answer, and else when it is asked for a place.
+//! The collector of a hall grants each request of the hall that goes to such a runner: together with
+//! the group where it picks one, otherwise with a [`Permit`] that a node asks for.
 
 use std::sync::Arc;
 
 use cottoncrank::{Millis, id};
 use cottoncrank_fleet::allocation::{Availability, Caller, Demand, Halls, OtherHall};
-use cottoncrank_fleet::dispatch::{Query, Reply};
+use cottoncrank_fleet::dispatch::{self, Reply};
 use cottoncrank_fleet::occupancy::Scope;
 use cottoncrank_fleet::rate::Rate;
 use cottoncrank_fleet::runner::{Epoch, Runner};
@@ -20,55 +21,57 @@
 use crate::attempt::{Job, Pick};
 use crate::candidates::{has_unlimited, list_rate_limited};
 use crate::dispatch::{COLLECTOR_TIMEOUT, avoid_collector, find_available_collector};
-use crate::figures;
 use crate::peer;
 use crate::state::Node;
+use crate::telemetry;
 
-/// A node tells its collector what runners said to it within this time: it has told what is older
-/// in an earlier report.
-const RECENT: Millis = Millis(2000);
+/// How long a node includes a rate that it received in the reports to its collector. Earlier reports
+/// had what is older.
+const RESEND_WINDOW: Millis = Millis(2000);
 
-/// A question for a place at one of these runners.
+/// Asks the collector for a permit to send a request to one of several rate-limited runners.
 #[derive(Serialize, Deserialize)]
-pub(crate) struct Plea {
-    /// The service.
+pub(crate) struct Query {
+    /// The service of the request.
     service: id::Service,
-    /// Whether the caller is told to come back where there is none, and how long it waits if that
-    /// is said: no runner takes its request otherwise.
+    /// Whether the request is refused without a permit, because no other runner takes it. The caller
+    /// is then told when to retry.
     refused: bool,
+    /// The remaining time of the caller, if it is known.
     patience: Option<Millis>,
-    /// What they said, as far as this node has heard it.
+    /// The rates of the runners, as far as the sender knows them.
     claims: Vec<Message>,
 }
 
-impl Plea {
-    fn names(&self, runner: &id::Runner) -> bool {
-        self.claims.iter().any(|told| told.runner == *runner)
+impl Query {
+    fn includes(&self, runner: &id::Runner) -> bool {
+        self.claims.iter().any(|limit| limit.runner == *runner)
     }
 }
 
-/// The answer to it.
+/// The answer to a [`Query`].
 #[derive(Serialize, Deserialize)]
-pub(crate) enum Place {
-    /// The request goes to this runner.
+pub(crate) enum Permit {
+    /// The request may be sent to this runner.
     Take(id::Runner),
-    /// There is none, and the next one is so far away.
+    /// No runner can take a request now; the next one can after this time.
     Wait(Millis),
-    /// They take all requests again, as this says.
+    /// The runners have no rate limit any more, by these announcements.
     Free(Vec<Message>),
 }
 
-/// Reads from an answer to a request sent at `asked` how many requests a second its runner takes.
-pub(crate) fn note(node: &Node, pick: &Pick, asked: Millis, headers: &HeaderMap) {
+/// Records the rate limit that a runner announced in the headers of its answer to a request sent at
+/// `asked`.
+pub(crate) fn record_rate(node: &Node, pick: &Pick, asked: Millis, headers: &HeaderMap) {
     let rate = match header::read_rate_limit(headers) {
         Ok(rate) => rate,
         Err(error) => {
-            log::warn!("throttle: {}: {error}; what it said before holds", pick.id);
+            log::warn!("throttle: {}: {error}; its previous rate limit stays in force", pick.id);
             return;
         }
     };
     let heard = node.now();
-    put(
+    insert_rate(
         node,
         RateLimit {
             runner: pick.id.clone(),
@@ -80,94 +83,96 @@
         "says",
     );
     if rate.is_some() {
-        figures::count_limited(&pick.hall);
+        telemetry::count_rate_limited(&pick.hall);
     }
 }
 
-fn put(node: &Node, claim: RateLimit, how: &str) {
+fn insert_rate(node: &Node, claim: RateLimit, verb: &str) {
     let runner = claim.runner.clone();
-    let change = node.said.lock().rate_limits.apply(claim);
+    let change = node.feedback.lock().rate_limits.apply(claim);
     match change {
         Change::None => {}
         Change::Set(rate) => {
-            log::info!("throttle: {runner} {how} that it takes {rate} from all nodes together")
+            log::info!("throttle: {runner} {verb} that it takes {rate} from all nodes together")
         }
-        Change::Withdrawn => log::info!("throttle: {runner} {how} that it takes all requests again"),
+        Change::Withdrawn => log::info!("throttle: {runner} {verb} that it takes all requests again"),
     }
 }
 
-/// Takes in what another node tells.
-pub(crate) fn take_claims(node: &Node, claims: &[Message]) {
-    for told in claims {
-        put(node, told.to_rate_limit(node.now()), "is told to say");
+/// Records the rate limits that another node reports.
+pub(crate) fn receive_rates(node: &Node, claims: &[Message]) {
+    for limit in claims {
+        insert_rate(node, limit.to_rate_limit(node.now()), "is told to say");
     }
 }
 
-/// Forgets runners that are gone.
-pub(crate) fn forget(node: &Node) {
+/// Forgets the rate limits of removed runners.
+pub(crate) fn remove_gone(node: &Node) {
     let roster = node.roster.lock();
-    let throttles = &mut node.said.lock().rate_limits;
+    let throttles = &mut node.feedback.lock().rate_limits;
     throttles.retain(|id| roster.get_last_known(id).is_some());
-    node.rations.lock().retain(|id| throttles.find(id, None).is_some());
+    node.allocations.lock().retain(|id| throttles.find(id, None).is_some());
 }
 
-/// What this node tells a collector of what runners said of their rates: to it lately, or to any
-/// of its hall.
-pub(crate) fn list_claims(node: &Node, scope: Scope) -> Vec<Message> {
+/// Lists the rate limits for a report to a collector: those that this node received lately, or for the
+/// report of a hall all of them.
+pub(crate) fn list_rates(node: &Node, scope: Scope) -> Vec<Message> {
     let now = node.now();
-    let throttles = &node.said.lock().rate_limits;
-    let told = throttles.iter().filter(|claim| scope == Scope::Hall || now < claim.received + RECENT);
-    told.map(|claim| claim.to_message(now)).collect()
+    let throttles = &node.feedback.lock().rate_limits;
+    let rates = throttles.iter().filter(|claim| scope == Scope::Hall || now < claim.received + RESEND_WINDOW);
+    rates.map(|claim| claim.to_message(now)).collect()
 }
 
-/// The same, of plain runners alone: what a node of this hall has to know, for those it chooses
-/// by itself.
-pub(crate) fn list_plain_claims(node: &Node) -> Vec<Message> {
-    let (roster, said, now) = (node.roster.lock(), node.said.lock(), node.now());
+/// Lists the rate limits of runners without a domain. The nodes of this hall need them, because they
+/// pick those runners by themselves.
+pub(crate) fn list_plain_rates(node: &Node) -> Vec<Message> {
+    let (roster, feedback, now) = (node.roster.lock(), node.feedback.lock(), node.now());
     let is_plain = |id: &id::Runner| roster.get_last_known(id).is_some_and(|runner| runner.domain.is_none());
-    said.rate_limits
+    feedback
+        .rate_limits
         .iter()
         .filter(|claim| is_plain(&claim.runner))
         .map(|claim| claim.to_message(now))
         .collect()
 }
 
-/// What this hall wants of runners that name a rate.
-pub(crate) fn list_wants(node: &Node, scope: Scope) -> Vec<Demand> {
-    if scope == Scope::Node { Vec::new() } else { node.rations.lock().list_demands(node.now()) }
+/// Lists the rates that this hall wants of rate-limited runners. Empty in the report of a single node.
+pub(crate) fn list_demands(node: &Node, scope: Scope) -> Vec<Demand> {
+    if scope == Scope::Node { Vec::new() } else { node.allocations.lock().list_demands(node.now()) }
 }
 
-/// What each of these runners takes from this hall, by the rate that it names.
-fn look(node: &Node, runners: &[(id::Runner, Rate)], now: Millis) -> Vec<Availability> {
+/// Returns for each of these runners this hall's share of its rate and the time until the next request
+/// may be sent.
+fn list_outlooks(node: &Node, runners: &[(id::Runner, Rate)], now: Millis) -> Vec<Availability> {
     let hall = &node.settings().hall;
     let (directory, reports) = (node.directory.lock(), node.reports.lock());
     let others = directory.list_halls().into_iter().filter(|other| *other != hall);
     let others =
         others.map(|hall| OtherHall { hall, is_silent: !reports.has_report_from(hall, now) }).collect();
     let halls = Halls { own: hall, others };
-    let mut rations = node.rations.lock();
-    runners.iter().map(|(runner, rate)| rations.check(runner, *rate, &halls, now)).collect()
+    let mut allocations = node.allocations.lock();
+    runners.iter().map(|(runner, rate)| allocations.check(runner, *rate, &halls, now)).collect()
 }
 
-/// What several runners take together: the soonest of all, and the sum of their parts.
-fn sum_up(outlooks: &[Availability]) -> Option<Availability> {
+/// Returns the shortest wait of several runners and the sum of their shares.
+fn sum_outlooks(outlooks: &[Availability]) -> Option<Availability> {
     let wait = outlooks.iter().map(|outlook| outlook.wait).min()?;
     Some(Availability { wait, rate: Rate(outlooks.iter().map(|outlook| outlook.rate.0).sum()) })
 }
 
-/// The groups of a choice whose heads name a rate.
+/// The groups that are eligible for a request and whose heads are rate-limited.
 #[derive(Default)]
-pub(crate) struct Limited {
-    /// Those that get no request at present, and for how long.
-    pub(crate) spent: Vec<(Epoch, Millis)>,
-    /// What all of them take together.
+pub(crate) struct LimitedGroups {
+    /// The groups that may get no request now, and for how long.
+    pub(crate) exhausted: Vec<(Epoch, Millis)>,
+    /// The shortest wait and the total share of all of them.
     outlook: Option<Availability>,
 }
 
-/// As the collector, the groups whose heads name a rate.
-pub(crate) fn list_limited(node: &Node, heads: &[&Runner], now: Millis) -> Limited {
+/// As the collector, lists the groups whose heads are rate-limited.
+pub(crate) fn list_limited(node: &Node, heads: &[&Runner], now: Millis) -> LimitedGroups {
     let (epochs, runners): (Vec<Epoch>, Vec<(id::Runner, Rate)>) = {
-        let throttles = &node.said.lock().rate_limits;
+        let throttles = &node.feedback.lock().rate_limits;
         let limited = heads.iter().filter_map(|head| {
             let rate = throttles.find(&head.id, head.incarnation)?;
             Some((head.membership.as_ref()?.epoch, (head.id.clone(), rate)))
@@ -175,123 +180,129 @@
         limited.unzip()
     };
     if runners.is_empty() {
-        return Limited::default();
+        return LimitedGroups::default();
     }
-    let outlooks = look(node, &runners, now);
+    let outlooks = list_outlooks(node, &runners, now);
     let waits = epochs.into_iter().zip(outlooks.iter().map(|outlook| outlook.wait));
-    let spent = waits.filter(|(_, wait)| *wait > Millis(0)).collect();
-    Limited { spent, outlook: sum_up(&outlooks) }
+    let exhausted = waits.filter(|(_, wait)| *wait > Millis(0)).collect();
+    LimitedGroups { exhausted, outlook: sum_outlooks(&outlooks) }
 }
 
-/// When a caller for whom there is no place comes back.
-pub(crate) fn plan_return(node: &Node, question: &Query, limited: &Limited, now: Millis) -> Option<Millis> {
+/// Returns after what time a caller is to retry when all groups are exhausted.
+pub(crate) fn plan_retry(
+    node: &Node,
+    question: &dispatch::Query,
+    limited: &LimitedGroups,
+    now: Millis,
+) -> Option<Millis> {
     let outlook = limited.outlook?;
     let caller = Caller {
         service: &question.service,
         model: Some(&question.model),
         remaining_time: question.patience,
     };
-    Some(node.returns.lock().schedule(&caller, outlook, now))
+    Some(node.retry_schedule.lock().schedule(&caller, outlook, now))
 }
 
-/// As the collector, counts a choice at the head that it fell on, and at the one that would be
-/// best but for its rate.
-pub(crate) fn note_choice(node: &Node, heads: &[&Runner], reply: Reply, best: Option<Epoch>, now: Millis) {
-    let throttles = &node.said.lock().rate_limits;
-    let find = |epoch: Epoch| {
-        let is_meant = |head: &&&Runner| head.membership.as_ref().is_some_and(|place| place.epoch == epoch);
-        let head = heads.iter().find(is_meant)?;
+/// As the collector, counts a pick against the rate of the picked head, and as demand for the head that
+/// would be the best without its rate limit.
+pub(crate) fn record_choice(node: &Node, heads: &[&Runner], reply: Reply, best: Option<Epoch>, now: Millis) {
+    let throttles = &node.feedback.lock().rate_limits;
+    let find_limited = |epoch: Epoch| {
+        let is_in_group =
+            |head: &&&Runner| head.membership.as_ref().is_some_and(|place| place.epoch == epoch);
+        let head = heads.iter().find(is_in_group)?;
         throttles.find(&head.id, head.incarnation).map(|_| &head.id)
     };
-    let mut rations = node.rations.lock();
-    if let Some(best) = best.and_then(find) {
-        rations.record_demand(best, now);
+    let mut allocations = node.allocations.lock();
+    if let Some(best) = best.and_then(find_limited) {
+        allocations.record_demand(best, now);
     }
     if let Reply::Take(promise) = reply
-        && let Some(taken) = find(promise.epoch)
+        && let Some(taken) = find_limited(promise.epoch)
     {
-        rations.spend(taken);
+        allocations.spend(taken);
     }
 }
 
-/// As the collector, gives a place at one of these runners.
-pub(crate) fn give_place(node: &Node, plea: &Plea) -> Place {
-    take_claims(node, &plea.claims);
+/// As the collector, grants a permit for one of the runners of a query.
+pub(crate) fn grant_permit(node: &Node, query: &Query) -> Permit {
+    receive_rates(node, &query.claims);
     let now = node.now();
     let runners: Vec<(id::Runner, Rate)> = {
-        let throttles = &node.said.lock().rate_limits;
-        let limited = plea
+        let throttles = &node.feedback.lock().rate_limits;
+        let limited = query
             .claims
             .iter()
-            .filter_map(|told| Some((told.runner.clone(), throttles.find(&told.runner, told.life)?)));
+            .filter_map(|limit| Some((limit.runner.clone(), throttles.find(&limit.runner, limit.life)?)));
         limited.collect()
     };
     if runners.is_empty() {
-        let (said, known) = (node.said.lock(), |claim: &&RateLimit| plea.names(&claim.runner));
-        return Place::Free(
-            said.rate_limits.iter().filter(known).map(|claim| claim.to_message(now)).collect(),
+        let (feedback, is_asked) = (node.feedback.lock(), |claim: &&RateLimit| query.includes(&claim.runner));
+        return Permit::Free(
+            feedback.rate_limits.iter().filter(is_asked).map(|claim| claim.to_message(now)).collect(),
         );
     }
-    let outlooks = look(node, &runners, now);
-    let mut rations = node.rations.lock();
+    let outlooks = list_outlooks(node, &runners, now);
+    let mut allocations = node.allocations.lock();
     for (runner, _) in &runners {
-        rations.record_demand(runner, now);
+        allocations.record_demand(runner, now);
     }
-    let open = runners.iter().zip(&outlooks).find(|(_, outlook)| outlook.wait == Millis(0));
-    if let Some(((runner, _), _)) = open {
-        rations.spend(runner);
-        return Place::Take(runner.clone());
+    let available = runners.iter().zip(&outlooks).find(|(_, outlook)| outlook.wait == Millis(0));
+    if let Some(((runner, _), _)) = available {
+        allocations.spend(runner);
+        return Permit::Take(runner.clone());
     }
-    let wait = sum_up(&outlooks).map(|all| match plea.refused {
+    let wait = sum_outlooks(&outlooks).map(|total| match query.refused {
         true => {
-            let caller = Caller { service: &plea.service, model: None, remaining_time: plea.patience };
-            node.returns.lock().schedule(&caller, all, now)
+            let caller = Caller { service: &query.service, model: None, remaining_time: query.patience };
+            node.retry_schedule.lock().schedule(&caller, total, now)
         }
-        // Nobody comes back for it: its request goes to another runner.
-        false => all.wait,
+        // The request goes to another runner, so no caller will retry at that time.
+        false => total.wait,
     });
-    Place::Wait(wait.unwrap_or_default())
+    Permit::Wait(wait.unwrap_or_default())
 }
 
-/// Asks the collector for a place at a runner that names a rate; none if no such runner can take
-/// the request, or nobody answers.
-pub(crate) async fn ask(node: &Arc<Node>, job: &Job, tried: &[id::Runner]) -> Option<Place> {
+/// Asks the collector for a permit to send a request to a rate-limited runner. Returns `None` if no such
+/// runner can take the request, or the collector does not answer.
+pub(crate) async fn query_permit(node: &Arc<Node>, job: &Job, tried: &[id::Runner]) -> Option<Permit> {
     let runners = list_rate_limited(node, job, tried);
     if runners.is_empty() {
         return None;
     }
     let claims = {
-        let (said, now) = (node.said.lock(), node.now());
-        let asked = |claim: &&RateLimit| runners.iter().any(|(id, _)| *id == claim.runner);
-        said.rate_limits.iter().filter(asked).map(|claim| claim.to_message(now)).collect()
+        let (feedback, now) = (node.feedback.lock(), node.now());
+        let is_candidate = |claim: &&RateLimit| runners.iter().any(|(id, _)| *id == claim.runner);
+        feedback.rate_limits.iter().filter(is_candidate).map(|claim| claim.to_message(now)).collect()
     };
     let (refused, patience) = (!has_unlimited(node, job, tried), job.remaining_time(node.now()));
-    let plea = Plea { service: job.service.clone(), refused, patience, claims };
+    let query = Query { service: job.service.clone(), refused, patience, claims };
     let collector = find_available_collector(node)?;
     if collector.node == node.settings().node {
-        return Some(give_place(node, &plea));
+        return Some(grant_permit(node, &query));
     }
-    match peer::ask_place(node, &collector, &plea, COLLECTOR_TIMEOUT).await {
+    match peer::query_permit(node, &collector, &query, COLLECTOR_TIMEOUT).await {
         Ok(place) => Some(place),
         Err(error) => {
-            log::info!("request {}: {} gives no place: {error}", job.id(), collector.node);
+            log::info!("request {}: no permit from collector {}: {error}", job.id(), collector.node);
             avoid_collector(node, collector);
             None
         }
     }
 }
 
-/// The runner that names a rate and gets a request from this node without asking, if one does.
-pub(crate) fn take_alone(node: &Node, job: &Job, tried: &[id::Runner]) -> Option<id::Runner> {
+/// Picks a rate-limited runner without a permit, by the fallback limits of this node.
+pub(crate) fn pick_without_collector(node: &Node, job: &Job, tried: &[id::Runner]) -> Option<id::Runner> {
     let runners = list_rate_limited(node, job, tried);
     let (nodes, now) = (node.directory.lock().count(), node.now());
-    let mut alone = node.alone.lock();
-    let taken =
-        runners.into_iter().find(|(id, rate)| alone.try_spend(id, *rate, nodes, now, &mut rand::rng()));
-    taken.map(|(id, _)| id)
+    let mut limits = node.fallback_limits.lock();
+    let picked =
+        runners.into_iter().find(|(id, rate)| limits.try_spend(id, *rate, nodes, now, &mut rand::rng()));
+    picked.map(|(id, _)| id)
 }
 
-/// The refusal of a request where all that can take it have had as many as they take.
+/// Returns the refusal of a request when all runners that can take it have used up their rates.
 pub(crate) fn refuse(node: &Node, job: &Job, wait: Millis) -> Refusal {
     Refusal::Throttled { wait, remaining: job.remaining_time(node.now()) }
 }
--- a/crates/node/src/tries.rs
+++ b/crates/node/src/tries.rs
@@ -11,11 +11,11 @@
 use crate::candidates::{pick_by_epoch, pick_locally, refuse_if_backing_off};
 use crate::crash;
 use crate::dispatch;
-use crate::figures;
 use crate::retries;
 use crate::runner_stream::wait_unless_unresponsive;
 use crate::state::Node;
 use crate::suspects;
+use crate::telemetry;
 use crate::throttle;
 
 /// The most tries of one request, rejected ones included.
@@ -60,7 +60,7 @@
         self.possible_runs += u32::from(error.may_have_run());
         self.rejections += u32::from(matches!(error, AttemptError::Rejected(_)));
         self.reached_runner |= error.has_reached_runner();
-        figures::count_failed_attempt(error.reason());
+        telemetry::count_failed_attempt(error.reason());
         let runner = self.tried.last().map_or("-", id::Runner::as_str);
         let chooser = if self.assignment.is_some() { "the collector" } else { "this node" };
         log::info!(
@@ -81,7 +81,7 @@
         Some(Reply::Take(_) | Reply::Full(_) | Reply::Throttled(_)) => None,
         Some(Reply::Held) => Some(Refusal::Quarantined),
         Some(Reply::Deadly) => Some(Refusal::Deadly),
-        Some(Reply::Unknown) | None => match suspects::rule(node, job) {
+        Some(Reply::Unknown) | None => match suspects::decide(node, job) {
             Ruling::Run | Ruling::Trial => None,
             Ruling::Quarantine => Some(Refusal::Quarantined),
             Ruling::Reject => Some(Refusal::Deadly),
