--- a/crates/node/src/intake.rs
+++ b/crates/node/src/apply.rs
@@ -1,4 +1,4 @@
-//! Taking in what the store holds, however it was learned.
+//! Taking in what the store holds, from the store or from another node.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -18,16 +18,16 @@
 use crate::state::Node;
 use crate::unreadable::Part;
 
-/// What was learned.
-pub struct Learned {
+/// Changes of the store, or all of it.
+pub struct Update {
     /// The items, up to its revision.
     pub batch: Batch,
     /// Whether items that are not in the batch are gone.
     pub whole: bool,
     /// When the store surely held nothing newer.
-    pub proven: Proof,
+    pub proof: Proof,
     /// Up to when all that the store held is known, unless a watch was deaf.
-    pub contact: Millis,
+    pub last_contact: Millis,
 }
 
 /// What an answer proves of the store's age.
@@ -38,26 +38,26 @@
     Watch(Millis, Millis),
 }
 
-/// Takes in what was learned, and keeps it for nodes that ask this one. `before` is the latest
+/// Applies an update, and keeps it for nodes that ask this one. `before` is the latest
 /// position that was known; none at the start.
-pub fn take_in(node: &Node, mut learned: Learned, before: Option<Position>) {
-    let former = before.filter(|before| before.era() < learned.batch.position.era());
+pub fn apply_update(node: &Node, mut update: Update, before: Option<Position>) {
+    let former = before.filter(|before| before.era() < update.batch.position.era());
     if let Some(before) = former {
-        era::enter(node, before, &mut learned.batch);
+        era::enter(node, before, &mut update.batch);
     }
-    match learned.whole {
-        true => node.feed.replace(&learned.batch),
-        false => node.feed.extend(&learned.batch),
+    match update.whole {
+        true => node.feed.replace(&update.batch),
+        false => node.feed.extend(&update.batch),
     }
-    let changes = learned.batch.items.len();
-    let caught_up = match learned.whole {
-        true => take_all(node, learned.batch, former.is_some()),
-        false => take_changes(node, learned.batch),
+    let changes = update.batch.items.len();
+    let caught_up = match update.whole {
+        true => apply_all(node, update.batch, former.is_some()),
+        false => apply_changes(node, update.batch),
     };
     if caught_up {
-        node.note_contact(learned.contact);
+        node.note_contact(update.last_contact);
         let mut freshness = node.freshness.lock();
-        match learned.proven {
+        match update.proof {
             Proof::Read(asked) => freshness.prove_read(asked),
             Proof::Watch(asked, waited) => freshness.prove_watch(asked, waited),
         }
@@ -67,8 +67,8 @@
     }
 }
 
-/// Takes all in that the store holds. `back` says that it came back from an older copy.
-fn take_all(node: &Node, batch: Batch, back: bool) -> bool {
+/// Takes all in that the store holds. `restored` says that it came back from an older copy.
+fn apply_all(node: &Node, batch: Batch, restored: bool) -> bool {
     let mut runners = Vec::new();
     let mut decider = None;
     let mut caught_up = true;
@@ -82,14 +82,14 @@
             Ok(Change::Own(item)) => {
                 suspects.extend(record::read_entry(&item).and_then(Result::ok).map(|row| row.fingerprint));
                 nodes.extend(member::read_name(&item.key));
-                take_own(node, &item);
+                apply_own_item(node, &item);
             }
-            other => caught_up &= take_change(node, other),
+            other => caught_up &= apply_change(node, other),
         }
     }
     log::info!("store: read whole at revision {position}, {} runners", runners.len());
     // What a copy lacks was not removed by operators.
-    if !back {
+    if !restored {
         record::retain(node, &suspects);
         node.directory.lock().retain(|name| nodes.contains(name));
         retries::take_share(node);
@@ -105,19 +105,19 @@
     caught_up
 }
 
-fn take_changes(node: &Node, batch: Batch) -> bool {
+fn apply_changes(node: &Node, batch: Batch) -> bool {
     let mut caught_up = true;
     for item in batch.items {
-        caught_up &= take_change(node, decode(item));
+        caught_up &= apply_change(node, decode(item));
     }
     caught_up
 }
 
 /// Takes a change in. Returns false if the configuration held here is older
 /// than the one in the store now.
-fn take_change(node: &Node, change: Result<Change, ItemError>) -> bool {
+fn apply_change(node: &Node, change: Result<Change, ItemError>) -> bool {
     match change {
-        Ok(Change::Catalog(catalog)) => take_catalog(node, catalog),
+        Ok(Change::Catalog(catalog)) => apply_catalog(node, catalog),
         Ok(Change::Runner(runner)) => {
             log::debug!("roster: {} is {:?} draining {}", runner.id, runner.membership, runner.draining);
             node.put_runner(runner);
@@ -129,8 +129,8 @@
                 node.ledger.lock().forget(&id);
             }
         }
-        Ok(Change::Own(item)) => take_own(node, &item),
-        Ok(Change::OwnGone(key)) => take_own_gone(node, &key),
+        Ok(Change::Own(item)) => apply_own_item(node, &item),
+        Ok(Change::OwnGone(key)) => apply_own_removal(node, &key),
         Ok(Change::Foreign(key)) => node.note_unreadable(&key, Part::Foreign, "key", "nothing of ours"),
         Err(error @ ItemError::Catalog(_)) => {
             node.note_unreadable("catalog", Part::Catalog, "form", error);
@@ -146,7 +146,7 @@
     true
 }
 
-fn take_own(node: &Node, item: &Item) {
+fn apply_own_item(node: &Node, item: &Item) {
     if item.key == LEASE_KEY {
         node.decider.send_replace(Some(decider::read_holder(item)));
         return;
@@ -182,7 +182,7 @@
     }
 }
 
-fn take_own_gone(node: &Node, key: &str) {
+fn apply_own_removal(node: &Node, key: &str) {
     if key == LEASE_KEY {
         node.decider.send_replace(None);
     } else if let Some(name) = member::read_name(key) {
@@ -196,17 +196,17 @@
     }
 }
 
-fn take_catalog(node: &Node, catalog: Catalog) {
+fn apply_catalog(node: &Node, catalog: Catalog) {
     let mut held = node.catalog.lock();
-    let here = held.as_ref().map(|catalog| catalog.version);
-    if here.is_some_and(|here| catalog.version < here) {
+    let held_version = held.as_ref().map(|catalog| catalog.version);
+    if held_version.is_some_and(|held| catalog.version < held) {
         log::error!(
-            "catalog: the store has version {}, older than {here:?} here; keeping it",
+            "catalog: the store has version {}, older than {held_version:?} here; keeping it",
             catalog.version
         );
         return;
     }
-    if here != Some(catalog.version) {
+    if held_version != Some(catalog.version) {
         log::info!("catalog: version {} is in force, {} routes", catalog.version, catalog.count_routes());
     }
     *held = Some(Arc::new(catalog));
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,7 +1,7 @@
 //! A node on the users' platform: one process a box.
 //!
 //! [`sync`] keeps what the node believes in step with the platform's store, read
-//! here or by another node ([`peer`], [`feed`], [`member`], whose entries `presence` removes), and `intake` takes it in; `era` says
+//! here or by another node ([`peer`], [`feed`], [`member`], whose entries `presence` removes), and `apply` takes it in; `era` says
 //! what is carried over when the store comes back from an older copy.
 //! [`collect`] tells nodes what the others have in flight, and `dispatch` asks one of
 //! them which group takes a request. [`front`] takes callers' requests, [`request`]
@@ -16,6 +16,7 @@
 //! [`state::Node`].
 
 pub mod answer;
+mod apply;
 pub mod attempt;
 mod avoid;
 mod backoff;
@@ -30,7 +31,6 @@
 pub mod figures;
 pub mod flight;
 pub mod front;
-mod intake;
 pub mod log;
 pub mod member;
 pub mod news;
