--- a/crates/node/tests/feed.rs
+++ b/crates/node/tests/feed.rs
@@ -15,7 +15,7 @@
 
 use bytes::Bytes;
 use cottoncrank_fleet::position::{Era, Position};
-use cottoncrank_node::feed::{Feed, News};
+use cottoncrank_node::feed::{Changes, Feed};
 use cottoncrank_platform::item::Raw;
 use cottoncrank_platform::store::Batch;
 use rand::rngs::SmallRng;
@@ -47,7 +47,7 @@
 }
 
 /// The numbers of the items of an answer.
-fn list_numbers(news: &News) -> Vec<String> {
+fn list_numbers(news: &Changes) -> Vec<String> {
     news.items.iter().map(|raw| raw.key.trim_start_matches("servers/i-").to_owned()).collect()
 }
 
@@ -133,7 +133,7 @@
 }
 
 impl Follower {
-    fn take(&mut self, news: News) {
+    fn take(&mut self, news: Changes) {
         if news.whole {
             self.held.clear();
         }
