--- a/crates/node/src/apply.rs
+++ b/crates/node/src/apply.rs
@@ -12,7 +12,7 @@
 use crate::decider::{self, LEASE_KEY};
 use crate::era;
 use crate::member;
-use crate::plans::read_plan;
+use crate::plans::decode_plan;
 use crate::record;
 use crate::retries;
 use crate::state::Node;
@@ -78,7 +78,7 @@
     for item in batch.items {
         match decode(item) {
             Ok(Change::Runner(runner)) => runners.push(runner),
-            Ok(Change::Own(item)) if item.key == LEASE_KEY => decider = Some(decider::read_holder(&item)),
+            Ok(Change::Own(item)) if item.key == LEASE_KEY => decider = Some(decider::decode_holder(&item)),
             Ok(Change::Own(item)) => {
                 suspects.extend(record::read_entry(&item).and_then(Result::ok).map(|row| row.fingerprint));
                 nodes.extend(member::read_name(&item.key));
@@ -148,7 +148,7 @@
 
 fn apply_own_item(node: &Node, item: &Item) {
     if item.key == LEASE_KEY {
-        node.decider.send_replace(Some(decider::read_holder(item)));
+        node.decider.send_replace(Some(decider::decode_holder(item)));
         return;
     }
     if let Some(entry) = member::read_entry(item) {
@@ -168,7 +168,7 @@
         }
         return;
     }
-    match read_plan(item) {
+    match decode_plan(item) {
         Ok(Some((domain, document))) => {
             let mut plans = node.plans.lock();
             plans.insert(domain, document);
--- a/crates/node/src/decider.rs
+++ b/crates/node/src/decider.rs
@@ -31,7 +31,7 @@
 use crate::era;
 use crate::figures;
 use crate::news;
-use crate::plans::{Kept, PlanError, Plans, read_plans, write_plan};
+use crate::plans::{PlanError, Plans, StoredPlan, encode_plan, read_plans};
 use crate::prober;
 use crate::state::{Holder, Node};
 
@@ -40,10 +40,10 @@
 
 /// How long the lease lasts without being renewed. A lost decider leaves groups
 /// unrepaired for this long.
-const LEASE: Millis = Millis(1600);
+const LEASE_TTL: Millis = Millis(1600);
 
 /// How often the lease is renewed; two renewals may fail.
-const RENEW: Millis = Millis(400);
+const RENEW_INTERVAL: Millis = Millis(400);
 
 /// A decider stops this long before its lease may be over.
 const LEASE_MARGIN: Millis = Millis(300);
@@ -51,35 +51,35 @@
 /// Each candidate waits for this long for each one before it, and up to this long more,
 /// so that most see that one was first and spare the store two calls. An election is
 /// known to the others after some 50 ms.
-const CANDIDACY: Millis = Millis(20);
+const CANDIDATE_DELAY: Millis = Millis(20);
 
 /// No candidate waits longer than this for those before it: they may all be cut off.
-const CANDIDACY_MAX: Millis = Millis(2000);
+const MAX_CANDIDATE_DELAY: Millis = Millis(2000);
 
 /// The pause after standing: the store tells of the outcome meanwhile.
-const STOOD: Millis = Millis(250);
+const ELECTION_PAUSE: Millis = Millis(250);
 
 /// How often a node that knows too little to decide looks again.
-const UNABLE: Millis = Millis(50);
+const NOT_READY_PAUSE: Millis = Millis(50);
 
 /// How often a decider looks at the fleet when nothing has changed.
-const LOOK: Millis = Millis(250);
+const PLAN_INTERVAL: Millis = Millis(250);
 
 /// While the plan of a domain cannot be read, all are read anew this often: an operator may
 /// have removed it.
-const REREAD: Millis = Millis(2000);
+const REREAD_INTERVAL: Millis = Millis(2000);
 
 /// What the runners of a service are doing is logged once in this time at most.
-const CENSUS: Millis = Millis(500);
+const CENSUS_LOG_INTERVAL: Millis = Millis(500);
 
 /// Changes are gathered for this long before the decider looks.
-const GATHER: Millis = Millis(30);
+const BATCH_DELAY: Millis = Millis(30);
 
 /// How long an order may take. Runners answer within milliseconds.
-const ORDER: Millis = Millis(1000);
+const ORDER_TIMEOUT: Millis = Millis(1000);
 
 /// A write takes at most this many documents at once, the store's limit less the lease.
-const WRITES_MAX: usize = 15;
+const MAX_WRITES: usize = 15;
 
 /// Why a node stopped deciding.
 #[derive(Debug, Error)]
@@ -91,7 +91,7 @@
     #[error("the lease may be over")]
     Expired,
     #[error("the store has come back from an older copy, which has another lease or none")]
-    CameBack,
+    StoreRestored,
     #[error(transparent)]
     Plan(#[from] PlanError),
 }
@@ -102,58 +102,58 @@
     client: Client,
     lease: Lease,
     /// Where the lease's key was written.
-    position: Position,
+    lease_position: Position,
     /// Until when the lease surely lasts.
-    until: Millis,
+    lease_end: Millis,
     /// When it was last renewed.
-    renewed: Millis,
+    last_renewed: Millis,
     plans: Plans,
     memory: Arc<Mutex<Memory>>,
     probes: Arc<Mutex<Probes>>,
     /// What was last logged of each service, and when.
-    census: HashMap<id::Service, (Census, Millis)>,
-    /// The parts of the runners that were last logged of each service.
-    parts: HashMap<id::Service, Vec<Share>>,
+    logged_census: HashMap<id::Service, (Census, Millis)>,
+    /// The shares of the runners that were last logged of each service.
+    logged_shares: HashMap<id::Service, Vec<Share>>,
 }
 
 /// Stands for the lease whenever it is free, and decides while holding it.
 pub async fn run(node: Arc<Node>) {
     let mut decider = node.decider.subscribe();
     // The era in which this node last stood, and whether it decided when that ended.
-    let (mut era, mut led) = (None, false);
+    let (mut era, mut was_decider) = (None, false);
     loop {
         // The sender lives as long as the node.
         let _ = decider.wait_for(|holder| !is_held(holder)).await;
         if !node.is_synced() || *node.draining.borrow() || node.catalog.lock().is_none() {
-            tokio::time::sleep(UNABLE.duration()).await;
+            tokio::time::sleep(NOT_READY_PAUSE.duration()).await;
             continue;
         }
-        let now_in = node.store.era();
-        let lease = LEASE.max(node.settings().lease_min);
-        let turn = match era {
-            Some(era) if now_in > era && led => Millis(0),
+        let store_era = node.store.era();
+        let lease = LEASE_TTL.max(node.settings().lease_min);
+        let delay = match era {
+            Some(era) if store_era > era && was_decider => Millis(0),
             // Whoever decided before may be cut off from the store, and sure of its lease.
-            Some(era) if now_in > era => lease,
+            Some(era) if store_era > era => lease,
             // The store may have come back just now without the plans that groups serve by: those
             // that know them go first.
-            None if now_in > Era::default() => lease + lease,
-            _ => find_turn(&node),
+            None if store_era > Era::default() => lease + lease,
+            _ => find_candidate_delay(&node),
         };
-        tokio::time::sleep(turn.duration()).await;
-        (era, led) = (Some(now_in), false);
+        tokio::time::sleep(delay.duration()).await;
+        (era, was_decider) = (Some(store_era), false);
         let holder = decider.borrow_and_update().clone();
         if is_held(&holder) {
             continue;
         }
-        let before = holder.map(|holder| holder.position);
-        match stand(&node, before).await {
+        let former_position = holder.map(|holder| holder.position);
+        match campaign(&node, former_position).await {
             Ok(Some(mut term)) => {
-                log::info!("decider: this node decides from {}", term.position);
+                log::info!("decider: this node decides from {}", term.lease_position);
                 let (node, client, probes) = (node.clone(), term.client.clone(), term.probes.clone());
                 let prober = tokio::spawn(prober::run(node, client, probes));
                 term.node.set_deciding(true);
-                let Err(end) = term.hold().await;
-                led = term.node.store.era() != term.position.era();
+                let Err(end) = term.run().await;
+                was_decider = term.node.store.era() != term.lease_position.era();
                 term.node.set_deciding(false);
                 prober.abort();
                 log::warn!("decider: this node decides no more: {end}");
@@ -164,15 +164,15 @@
             Ok(None) => {}
             Err(error) => log::info!("decider: not elected: {error}"),
         }
-        tokio::time::sleep(STOOD.duration()).await;
+        tokio::time::sleep(ELECTION_PAUSE.duration()).await;
     }
 }
 
 /// How long a candidate waits for those before it.
-fn find_turn(node: &Node) -> Millis {
-    let before = node.directory.lock().rank_candidate(&node.settings().node) as u64;
-    let jitter = Millis(rand::rng().random_range(0..CANDIDACY.0));
-    Millis(CANDIDACY.0 * before).min(CANDIDACY_MAX) + jitter
+fn find_candidate_delay(node: &Node) -> Millis {
+    let rank = node.directory.lock().rank_candidate(&node.settings().node) as u64;
+    let jitter = Millis(rand::rng().random_range(0..CANDIDATE_DELAY.0));
+    Millis(CANDIDATE_DELAY.0 * rank).min(MAX_CANDIDATE_DELAY) + jitter
 }
 
 /// Whether a node decides, as far as the lease's key says. One that cannot be read, but goes
@@ -182,12 +182,12 @@
 }
 
 /// Asks the store for the lease. `before` is where a key was written that goes with none.
-async fn stand(node: &Arc<Node>, before: Option<Position>) -> Result<Option<Term>, EndError> {
+async fn campaign(node: &Arc<Node>, former_position: Option<Position>) -> Result<Option<Term>, EndError> {
     let asked = node.now();
-    let ttl = LEASE.max(node.settings().lease_min);
+    let ttl = LEASE_TTL.max(node.settings().lease_min);
     let lease = node.store.open_lease(ttl).await?;
     let commit = Commit {
-        expect: vec![(LEASE_KEY.to_owned(), before)],
+        expect: vec![(LEASE_KEY.to_owned(), former_position)],
         puts: vec![(LEASE_KEY.to_owned(), node.settings().node.as_str().into(), Some(lease))],
         removes: Vec::new(),
     };
@@ -197,19 +197,19 @@
         node: node.clone(),
         client: Client::new(Traffic::default()),
         lease,
-        position,
-        until: asked + ttl,
-        renewed: asked,
+        lease_position: position,
+        lease_end: asked + ttl,
+        last_renewed: asked,
         plans,
         memory: Arc::new(Mutex::new(Memory::resume(&node.halts.lock()))),
         probes: Arc::default(),
-        census: HashMap::new(),
-        parts: HashMap::new(),
+        logged_census: HashMap::new(),
+        logged_shares: HashMap::new(),
     }))
 }
 
 /// Reads who decides from the lease's key.
-pub fn read_holder(item: &Item) -> Holder {
+pub fn decode_holder(item: &Item) -> Holder {
     let name = std::str::from_utf8(&item.value).ok().and_then(|name| name.parse().ok());
     if name.is_none() {
         log::error!("store: `{}` names no node", item.key);
@@ -219,11 +219,11 @@
 
 impl Term {
     /// Whether this node may still decide.
-    fn check(&self) -> Result<(), EndError> {
-        if self.node.store.era() != self.position.era() {
-            return Err(EndError::CameBack);
+    fn check_lease(&self) -> Result<(), EndError> {
+        if self.node.store.era() != self.lease_position.era() {
+            return Err(EndError::StoreRestored);
         }
-        match self.node.now() + LEASE_MARGIN >= self.until {
+        match self.node.now() + LEASE_MARGIN >= self.lease_end {
             true => Err(EndError::Expired),
             false => Ok(()),
         }
@@ -231,25 +231,25 @@
 
     /// Writes the plans again that the store has lost. Groups serve by them, and epochs were
     /// given out.
-    async fn put_back(&mut self) -> Result<(), EndError> {
+    async fn restore_plans(&mut self) -> Result<(), EndError> {
         let mut writes = Vec::new();
-        for (domain, document) in era::list_plans(&self.node, self.position.era()) {
-            let kept = self.plans.kept.get(&domain);
+        for (domain, document) in era::list_plans(&self.node, self.lease_position.era()) {
+            let stored = self.plans.stored.get(&domain);
             if self.plans.closed.contains(&domain)
-                || kept.is_some_and(|kept| kept.document.version >= document.version)
+                || stored.is_some_and(|stored| stored.document.version >= document.version)
             {
                 continue;
             }
-            let position = kept.and_then(|kept| kept.position);
-            self.plans.kept.insert(domain.clone(), Kept { position, document: document.clone() });
+            let position = stored.and_then(|stored| stored.position);
+            self.plans.stored.insert(domain.clone(), StoredPlan { position, document: document.clone() });
             writes.push((domain, document, vec!["put back, the store had lost it".to_owned()]));
         }
-        writes.extend(self.adopt());
-        for writes in writes.chunks(WRITES_MAX) {
-            self.renew().await?;
+        writes.extend(self.adopt_groups());
+        for writes in writes.chunks(MAX_WRITES) {
+            self.renew_lease().await?;
             if !self.write(writes).await? {
                 // What is held now is the older one: nothing is decided from that.
-                return Err(EndError::CameBack);
+                return Err(EndError::StoreRestored);
             }
         }
         Ok(())
@@ -257,7 +257,7 @@
 
     /// The plans with groups that serve and stand in none, for the store has lost theirs. A
     /// domain in which one is seen in part is left alone until all is read anew.
-    fn adopt(&mut self) -> Vec<(id::Domain, Document, Vec<String>)> {
+    fn adopt_groups(&mut self) -> Vec<(id::Domain, Document, Vec<String>)> {
         let Some(catalog) = self.node.catalog.lock().clone() else { return Vec::new() };
         let adoption = adopt(&catalog.services, &self.node.roster.lock(), &self.plans.list_documents());
         for domain in &adoption.incomplete {
@@ -270,38 +270,39 @@
         let reason = || vec!["adopt groups that serve, the store had lost their plan".to_owned()];
         let plans: Vec<_> = plans.map(|(domain, document)| (domain, document, reason())).collect();
         for (domain, document, _) in &plans {
-            let kept = self.plans.kept.get(domain);
-            let (position, version) = kept.map_or((None, 0), |kept| (kept.position, kept.document.version));
+            let stored = self.plans.stored.get(domain);
+            let (position, version) =
+                stored.map_or((None, 0), |stored| (stored.position, stored.document.version));
             let document = Document { version, ..document.clone() };
-            self.plans.kept.insert(domain.clone(), Kept { position, document });
+            self.plans.stored.insert(domain.clone(), StoredPlan { position, document });
         }
         plans
     }
 
     /// Decides until the lease is lost.
-    async fn hold(&mut self) -> Result<std::convert::Infallible, EndError> {
-        self.put_back().await?;
+    async fn run(&mut self) -> Result<std::convert::Infallible, EndError> {
+        self.restore_plans().await?;
         loop {
             let now = self.node.now();
-            self.check()?;
-            self.renew().await?;
+            self.check_lease()?;
+            self.renew_lease().await?;
             if *self.node.draining.borrow() {
                 return Err(EndError::Deposed);
             }
-            self.reread(now).await;
-            self.decide().await?;
+            self.reread_plans(now).await;
+            self.plan_services().await?;
             // A change wakes the decider early; both ways it looks again.
-            let _ = tokio::time::timeout(LOOK.duration(), self.node.changed.notified()).await;
-            tokio::time::sleep(GATHER.duration()).await;
+            let _ = tokio::time::timeout(PLAN_INTERVAL.duration(), self.node.changed.notified()).await;
+            tokio::time::sleep(BATCH_DELAY.duration()).await;
         }
     }
 
     /// Looks whether plans that could not be read can be, or are gone.
-    async fn reread(&mut self, now: Millis) {
-        if self.plans.closed.is_empty() || now < self.plans.read + REREAD {
+    async fn reread_plans(&mut self, now: Millis) {
+        if self.plans.closed.is_empty() || now < self.plans.read_at + REREAD_INTERVAL {
             return;
         }
-        self.plans.read = now;
+        self.plans.read_at = now;
         match read_plans(&self.node).await {
             Ok(plans) => self.plans = plans,
             Err(error) => log::info!("decider: plans were not read anew: {error}"),
@@ -309,38 +310,41 @@
     }
 
     /// Renews the lease, if that is due.
-    async fn renew(&mut self) -> Result<(), EndError> {
+    async fn renew_lease(&mut self) -> Result<(), EndError> {
         let asked = self.node.now();
-        if asked < self.renewed + RENEW {
+        if asked < self.last_renewed + RENEW_INTERVAL {
             return Ok(());
         }
-        self.renewed = asked;
+        self.last_renewed = asked;
         match self.node.store.keep_lease(self.lease).await {
             Ok(()) => {
-                self.until = asked + LEASE.max(self.node.settings().lease_min);
+                self.lease_end = asked + LEASE_TTL.max(self.node.settings().lease_min);
                 Ok(())
             }
             Err(error @ StoreError::LeaseOver) => Err(error.into()),
             Err(error) => {
-                log::info!("decider: the lease was not renewed, {} left: {error}", self.until.since(asked));
+                log::info!(
+                    "decider: the lease was not renewed, {} left: {error}",
+                    self.lease_end.since(asked)
+                );
                 Ok(())
             }
         }
     }
 
-    async fn decide(&mut self) -> Result<(), EndError> {
+    async fn plan_services(&mut self) -> Result<(), EndError> {
         let Some(catalog) = self.node.catalog.lock().clone() else { return Ok(()) };
         for service in &catalog.services {
             let Some(engine) = &service.engine else { continue };
             let bounds = self.node.settings().bounds.clone();
             let documents = self.plans.list_documents();
             let in_flight = self.node.sum_all_in_flight();
-            let refusing = news::list_lasting(&self.node);
-            let begun = self.node.now();
+            let rejecting = news::list_lasting(&self.node);
+            let started = self.node.now();
             let (step, census) = {
                 let roster = self.node.roster.lock();
                 let probes = self.probes.lock();
-                let scene = Snapshot {
+                let snapshot = Snapshot {
                     service,
                     roster: &roster,
                     plans: &documents,
@@ -350,15 +354,15 @@
                     ceiling: &bounds.ceiling,
                     stall: bounds.stall,
                     in_flight: in_flight.as_ref(),
-                    rejecting: &refusing,
+                    rejecting: &rejecting,
                     now: self.node.now(),
                 };
-                (step(&scene, &mut self.memory.lock()), census::count(&scene, engine))
+                (step(&snapshot, &mut self.memory.lock()), census::count(&snapshot, engine))
             };
-            figures::record_look(self.node.now().since(begun));
+            figures::record_look(self.node.now().since(started));
             self.log_census(&service.id, census);
-            self.log_parts(service);
-            self.carry_out(step).await?;
+            self.log_shares(service);
+            self.execute(step).await?;
         }
         Ok(())
     }
@@ -366,63 +370,63 @@
     /// Says what the runners of a service are doing, when that has changed.
     fn log_census(&mut self, service: &id::Service, census: Census) {
         let now = self.node.now();
-        let last = self.census.get(service);
-        if last.is_some_and(|(last, at)| *last == census || now < *at + CENSUS) {
+        let last = self.logged_census.get(service);
+        if last.is_some_and(|(last, at)| *last == census || now < *at + CENSUS_LOG_INTERVAL) {
             return;
         }
         log::info!("decider: {service}: {census}");
-        self.census.insert(service.clone(), (census, now));
+        self.logged_census.insert(service.clone(), (census, now));
     }
 
-    /// Says which part of the runners each model is to have, when that has changed.
-    fn log_parts(&mut self, service: &Service) {
-        let parts = self.memory.lock().list_shares(service);
-        let told = self.parts.entry(service.id.clone()).or_default();
-        let same =
-            told.len() == parts.len() && !parts.iter().zip(&*told).any(|(part, told)| part.differs(told));
+    /// Says which share of the runners each model is to have, when that has changed.
+    fn log_shares(&mut self, service: &Service) {
+        let shares = self.memory.lock().list_shares(service);
+        let logged = self.logged_shares.entry(service.id.clone()).or_default();
+        let same = logged.len() == shares.len()
+            && !shares.iter().zip(&*logged).any(|(share, logged)| share.differs(logged));
         if same {
             return;
         }
-        for part in &parts {
-            log::info!("decider: {}: {part}", service.id);
+        for share in &shares {
+            log::info!("decider: {}: {share}", service.id);
         }
-        *told = parts;
+        *logged = shares;
     }
 
     /// Writes the plans that changed, then gives the orders that follow from them.
     ///
     /// The lease is renewed between the writes: of a fleet with many domains they take longer than
     /// it lasts where the store is slow.
-    async fn carry_out(&mut self, step: Step) -> Result<(), EndError> {
-        for writes in step.writes.chunks(WRITES_MAX) {
-            self.renew().await?;
+    async fn execute(&mut self, step: Step) -> Result<(), EndError> {
+        for writes in step.writes.chunks(MAX_WRITES) {
+            self.renew_lease().await?;
             if !self.write(writes).await? {
                 // Orders follow what is written and nothing else: were the plan made
                 // anew, its epochs would be given out a second time.
                 return Ok(());
             }
         }
-        self.check()?;
+        self.check_lease()?;
         for (runner, order) in step.orders {
-            self.give(runner, order);
+            self.send_order(runner, order);
         }
         Ok(())
     }
 
     /// The version of the plan that is written next.
     fn next_version(&self, domain: &id::Domain) -> u64 {
-        self.plans.kept.get(domain).map_or(0, |kept| kept.document.version) + 1
+        self.plans.stored.get(domain).map_or(0, |stored| stored.document.version) + 1
     }
 
     /// Writes plans. Returns false if they are not known to stand; what the store
     /// holds has been read then.
     async fn write(&mut self, writes: &[(id::Domain, Document, Vec<String>)]) -> Result<bool, EndError> {
         let mut commit =
-            Commit { expect: vec![(LEASE_KEY.to_owned(), Some(self.position))], ..Commit::default() };
+            Commit { expect: vec![(LEASE_KEY.to_owned(), Some(self.lease_position))], ..Commit::default() };
         for (domain, document, reasons) in writes {
             let document = Document { version: self.next_version(domain), ..document.clone() };
-            let (key, bytes) = write_plan(domain, &document)?;
-            let expected = self.plans.kept.get(domain).and_then(|kept| kept.position);
+            let (key, bytes) = encode_plan(domain, &document)?;
+            let expected = self.plans.stored.get(domain).and_then(|stored| stored.position);
             commit.expect.push((key.clone(), expected));
             commit.puts.push((key, bytes, None));
             for reason in reasons {
@@ -434,7 +438,9 @@
                 for (domain, document, _) in writes {
                     let version = self.next_version(domain);
                     let document = Document { version, ..document.clone() };
-                    self.plans.kept.insert(domain.clone(), Kept { position: Some(position), document });
+                    self.plans
+                        .stored
+                        .insert(domain.clone(), StoredPlan { position: Some(position), document });
                 }
                 Ok(true)
             }
@@ -443,13 +449,13 @@
             Ok(Outcome::Conflict) => {
                 self.plans = read_plans(&self.node).await?;
                 let holder = self.node.decider.borrow().as_ref().map(|holder| holder.position);
-                match holder > Some(self.position) {
+                match holder > Some(self.lease_position) {
                     true => Err(EndError::Deposed),
                     false => Ok(false),
                 }
             }
             Err(StoreError::LeaseOver) => Err(StoreError::LeaseOver.into()),
-            Err(StoreError::CameBack(_)) => Err(EndError::CameBack),
+            Err(StoreError::CameBack(_)) => Err(EndError::StoreRestored),
             Err(error) => {
                 log::warn!("decider: plans were perhaps not written: {error}");
                 self.plans = read_plans(&self.node).await?;
@@ -458,29 +464,31 @@
         }
     }
 
-    fn give(&self, runner: id::Runner, order: Order) {
+    fn send_order(&self, runner: id::Runner, order: Order) {
         let known = self
             .node
             .roster
             .lock()
             .get_last_known(&runner)
             .map(|runner| (runner.address, runner.incarnation));
-        let Some((address, life)) = known else { return };
+        let Some((address, incarnation)) = known else { return };
         let (node, client, memory) = (self.node.clone(), self.client.clone(), self.memory.clone());
-        let (until, era) = (self.until, self.position.era());
+        let (lease_end, era) = (self.lease_end, self.lease_position.era());
         tokio::spawn(async move {
             // The box may have been suspended since the order was decided on.
-            if node.now() + LEASE_MARGIN >= until || node.store.era() != era {
+            if node.now() + LEASE_MARGIN >= lease_end || node.store.era() != era {
                 log::warn!("decider: {order:?} to {runner} is not given, the lease may be over");
                 return;
             }
-            let reply = order::give(&client, address, &runner, &order, ORDER).await;
+            let reply = order::give(&client, address, &runner, &order, ORDER_TIMEOUT).await;
             match reply {
-                Ok(Reply::Taken) => memory.lock().record_acknowledged(&runner, life, &order, node.now()),
+                Ok(Reply::Taken) => {
+                    memory.lock().record_acknowledged(&runner, incarnation, &order, node.now())
+                }
                 Ok(Reply::Outdated) => memory.lock().record_refused(&runner, &order),
                 // It is in no such group, or is no more: as good as having left it.
                 Ok(Reply::Unfit | Reply::Gone) if matches!(order, Order::Leave(..)) => {
-                    memory.lock().record_acknowledged(&runner, life, &order, node.now());
+                    memory.lock().record_acknowledged(&runner, incarnation, &order, node.now());
                 }
                 Ok(Reply::Gone | Reply::Refused(_)) if matches!(order, Order::Stage(_)) => {
                     memory.lock().record_refused(&runner, &order);
--- a/crates/node/src/era.rs
+++ b/crates/node/src/era.rs
@@ -13,7 +13,7 @@
 use cottoncrank_platform::store::Batch;
 
 use crate::figures;
-use crate::plans::read_plan;
+use crate::plans::decode_plan;
 use crate::state::Node;
 
 /// What a value that nodes or operators keep in force says of its age: the greater, the later.
@@ -21,7 +21,7 @@
 fn read_version(raw: &Raw) -> Option<u64> {
     match decode(raw.clone()) {
         Ok(Change::Catalog(catalog)) => Some(catalog.version),
-        Ok(Change::Own(item)) => Some(read_plan(&item).ok()??.1.version),
+        Ok(Change::Own(item)) => Some(decode_plan(&item).ok()??.1.version),
         _ => None,
     }
 }
@@ -61,7 +61,7 @@
 pub(crate) fn list_plans(node: &Node, era: Era) -> Vec<(id::Domain, Document)> {
     let former = node.feed.list(|raw| raw.position.era() < era);
     let plans = former.into_iter().filter_map(|raw| match decode(raw) {
-        Ok(Change::Own(item)) => read_plan(&item).ok()?,
+        Ok(Change::Own(item)) => decode_plan(&item).ok()?,
         _ => None,
     });
     plans.collect()
--- a/crates/node/src/plans.rs
+++ b/crates/node/src/plans.rs
@@ -23,7 +23,7 @@
 }
 
 /// A plan as it stands in the store.
-pub(crate) struct Kept {
+pub(crate) struct StoredPlan {
     /// None if the store does not hold it.
     pub(crate) position: Option<Position>,
     /// The plan.
@@ -34,33 +34,33 @@
 #[derive(Default)]
 pub(crate) struct Plans {
     /// Those that can be read.
-    pub(crate) kept: BTreeMap<id::Domain, Kept>,
+    pub(crate) stored: BTreeMap<id::Domain, StoredPlan>,
     /// Domains whose plan cannot be read.
     pub(crate) closed: BTreeSet<id::Domain>,
     /// When they were read.
-    pub(crate) read: Millis,
+    pub(crate) read_at: Millis,
 }
 
 impl Plans {
     /// What is planned, by domain.
     pub(crate) fn list_documents(&self) -> plan::Plans {
-        self.kept.iter().map(|(domain, kept)| (domain.clone(), kept.document.clone())).collect()
+        self.stored.iter().map(|(domain, stored)| (domain.clone(), stored.document.clone())).collect()
     }
 }
 
 /// Reads all plans. A domain whose plan cannot be read is left alone, for its groups are not
 /// known; all others are decided.
 pub(crate) async fn read_plans(node: &Node) -> Result<Plans, StoreError> {
-    let mut plans = Plans { read: node.now(), ..Plans::default() };
+    let mut plans = Plans { read_at: node.now(), ..Plans::default() };
     for item in node.store.read_own().await? {
-        match read_plan(&item) {
+        match decode_plan(&item) {
             Ok(Some((domain, document))) => {
-                plans.kept.insert(domain, Kept { position: Some(item.position), document });
+                plans.stored.insert(domain, StoredPlan { position: Some(item.position), document });
             }
             Ok(None) => {}
             Err(error) => {
                 log::error!("decider: {error}; nothing is decided in that domain");
-                plans.closed.extend(read_domain(&item.key).and_then(Result::ok));
+                plans.closed.extend(parse_domain(&item.key).and_then(Result::ok));
             }
         }
     }
@@ -69,23 +69,23 @@
 }
 
 /// The domain whose plan stands under a key, if it is a plan's.
-fn read_domain(key: &str) -> Option<Result<id::Domain, id::IdError>> {
+fn parse_domain(key: &str) -> Option<Result<id::Domain, id::IdError>> {
     key.strip_prefix(PREFIX).map(str::parse)
 }
 
 /// Reads a plan, if the item is one.
-pub fn read_plan(item: &Item) -> Result<Option<(id::Domain, Document)>, PlanError> {
-    let unreadable = |reason: String| PlanError { key: item.key.clone(), reason };
-    let Some(domain) = read_domain(&item.key) else { return Ok(None) };
-    let domain = domain.map_err(|error| unreadable(error.to_string()))?;
+pub fn decode_plan(item: &Item) -> Result<Option<(id::Domain, Document)>, PlanError> {
+    let invalid = |reason: String| PlanError { key: item.key.clone(), reason };
+    let Some(domain) = parse_domain(&item.key) else { return Ok(None) };
+    let domain = domain.map_err(|error| invalid(error.to_string()))?;
     let document: Document =
-        rmp_serde::from_slice(&item.value).map_err(|error| unreadable(error.to_string()))?;
-    document.check().map_err(|flaw| unreadable(flaw.to_string()))?;
+        rmp_serde::from_slice(&item.value).map_err(|error| invalid(error.to_string()))?;
+    document.check().map_err(|flaw| invalid(flaw.to_string()))?;
     Ok(Some((domain, document)))
 }
 
 /// The key and the value under which a plan is written.
-pub(crate) fn write_plan(domain: &id::Domain, document: &Document) -> Result<(String, Vec<u8>), PlanError> {
+pub(crate) fn encode_plan(domain: &id::Domain, document: &Document) -> Result<(String, Vec<u8>), PlanError> {
     let key = format!("{PREFIX}{domain}");
     match rmp_serde::to_vec(document) {
         Ok(bytes) => Ok((key, bytes)),
--- a/crates/node/src/prober.rs
+++ b/crates/node/src/prober.rs
@@ -16,11 +16,11 @@
 
 /// How long a question to a runner may take; the way there and back takes a few
 /// milliseconds.
-const PROBE: Millis = Millis(250);
+const PROBE_TIMEOUT: Millis = Millis(250);
 
 /// The pause between two rounds of questions. A runner lost for good is known
 /// within one round, three times as fast as by its lapsing entry.
-const PROBE_PAUSE: Millis = Millis(450);
+const ROUND_DELAY: Millis = Millis(450);
 
 /// Asks all members of groups, in rounds, how they are. Those whose
 /// entry is gone are asked where they were last.
@@ -37,45 +37,45 @@
             let roster = node.roster.lock();
             members.iter().filter_map(|id| roster.get_last_known(id).cloned()).collect()
         };
-        let mut asking = JoinSet::new();
+        let mut probing = JoinSet::new();
         for runner in known {
             let silent = probes.lock().is_silent(&runner.id);
-            asking.spawn(ask_member(client.clone(), runner, silent));
+            probing.spawn(probe_member(client.clone(), runner, silent));
         }
-        let round = asking.join_all().await;
+        let round = probing.join_all().await;
         figures::count_probes(round.iter().map(|(answer, _)| answer.asked as usize).sum());
         let mut answers = Vec::with_capacity(round.len());
         for (answer, leaving) in round {
-            if let Some(life) = answer.incarnation {
-                node.record_incarnation(&answer.runner, life);
+            if let Some(incarnation) = answer.incarnation {
+                node.record_incarnation(&answer.runner, incarnation);
             }
             if leaving {
                 node.record_leaving(&answer.runner, answer.incarnation);
             }
             answers.push(answer);
         }
-        let fresh = probes.lock().record_round(&answers);
-        if !fresh.is_empty() {
+        let newly_silent = probes.lock().record_round(&answers);
+        if !newly_silent.is_empty() {
             log::info!(
                 "decider: no answer from {}",
-                fresh.iter().map(id::Runner::as_str).collect::<Vec<_>>().join(" ")
+                newly_silent.iter().map(id::Runner::as_str).collect::<Vec<_>>().join(" ")
             );
             node.changed.notify_one();
         }
-        tokio::time::sleep(PROBE_PAUSE.duration()).await;
+        tokio::time::sleep(ROUND_DELAY.duration()).await;
     }
 }
 
 /// Asks a member how it is, and one that is not known to be silent once more if it does
 /// not answer: a lost one is known half a second sooner than after another round. Returns
 /// its answer, and whether it is about to leave.
-async fn ask_member(client: Client, runner: Runner, silent: bool) -> (Answer, bool) {
-    let mut asked = 1;
-    let mut probed = order::probe(&client, runner.address, &runner.id, PROBE).await;
+async fn probe_member(client: Client, runner: Runner, silent: bool) -> (Answer, bool) {
+    let mut attempts = 1;
+    let mut probed = order::probe(&client, runner.address, &runner.id, PROBE_TIMEOUT).await;
     if probed.reported == Observation::Silent && !silent {
-        asked += 1;
-        probed = order::probe(&client, runner.address, &runner.id, PROBE).await;
+        attempts += 1;
+        probed = order::probe(&client, runner.address, &runner.id, PROBE_TIMEOUT).await;
     }
     let Probed { reported, life, leaving } = probed;
-    (Answer { runner: runner.id, hall: runner.hall, reported, incarnation: life, asked }, leaving)
+    (Answer { runner: runner.id, hall: runner.hall, reported, incarnation: life, asked: attempts }, leaving)
 }
