--- a/crates/node/src/apply.rs
+++ b/crates/node/src/apply.rs
@@ -11,9 +11,9 @@
 
 use crate::decider::{self, LEASE_KEY};
 use crate::era;
-use crate::member;
 use crate::plans::decode_plan;
 use crate::record;
+use crate::registration;
 use crate::retries;
 use crate::state::Node;
 use crate::unreadable::Part;
@@ -43,7 +43,7 @@
 pub fn apply_update(node: &Node, mut update: Update, before: Option<Position>) {
     let former = before.filter(|before| before.era() < update.batch.position.era());
     if let Some(before) = former {
-        era::enter(node, before, &mut update.batch);
+        era::apply_restore(node, before, &mut update.batch);
     }
     match update.whole {
         true => node.feed.replace(&update.batch),
@@ -81,7 +81,7 @@
             Ok(Change::Own(item)) if item.key == LEASE_KEY => decider = Some(decider::decode_holder(&item)),
             Ok(Change::Own(item)) => {
                 suspects.extend(record::read_entry(&item).and_then(Result::ok).map(|row| row.fingerprint));
-                nodes.extend(member::read_name(&item.key));
+                nodes.extend(registration::parse_key(&item.key));
                 apply_own_item(node, &item);
             }
             other => caught_up &= apply_change(node, other),
@@ -151,7 +151,7 @@
         node.decider.send_replace(Some(decider::decode_holder(item)));
         return;
     }
-    if let Some(entry) = member::read_entry(item) {
+    if let Some(entry) = registration::decode_entry(item) {
         match entry {
             Ok(peer) => {
                 node.directory.lock().insert(peer);
@@ -185,7 +185,7 @@
 fn apply_own_removal(node: &Node, key: &str) {
     if key == LEASE_KEY {
         node.decider.send_replace(None);
-    } else if let Some(name) = member::read_name(key) {
+    } else if let Some(name) = registration::parse_key(key) {
         if name == node.settings().node {
             node.entry_gone.notify_one();
         }
--- a/crates/node/src/decider.rs
+++ b/crates/node/src/decider.rs
@@ -233,7 +233,7 @@
     /// given out.
     async fn restore_plans(&mut self) -> Result<(), EndError> {
         let mut writes = Vec::new();
-        for (domain, document) in era::list_plans(&self.node, self.lease_position.era()) {
+        for (domain, document) in era::list_carried_plans(&self.node, self.lease_position.era()) {
             let stored = self.plans.stored.get(&domain);
             if self.plans.closed.contains(&domain)
                 || stored.is_some_and(|stored| stored.document.version >= document.version)
--- a/crates/node/src/era.rs
+++ b/crates/node/src/era.rs
@@ -28,8 +28,11 @@
 
 /// Takes in that the store has come back from an older copy, which `batch` is all of. What was
 /// in force here and is later than that takes its place.
-pub(crate) fn enter(node: &Node, before: Position, batch: &mut Batch) {
-    log::warn!("sync: the store came back from an older copy: at {}, after {before}", batch.position);
+pub(crate) fn apply_restore(node: &Node, former_position: Position, batch: &mut Batch) {
+    log::warn!(
+        "sync: the store came back from an older copy: at {}, after {former_position}",
+        batch.position
+    );
     figures::count_era();
     node.store.raise_era(batch.position.era());
     // Runners write their entries again within seconds; none is given up for that.
@@ -37,28 +40,28 @@
     node.suspects.lock().forget_stored();
     let held = node.feed.list(|raw| read_version(raw).is_some());
     for raw in held {
-        carry(batch, raw);
+        carry_over(batch, raw);
     }
 }
 
 /// Puts an item that is held here into a batch that has an earlier one, or none.
-fn carry(batch: &mut Batch, held: Raw) {
-    let place = batch.items.iter().position(|raw| raw.key == held.key);
-    let there = place.and_then(|place| read_version(&batch.items[place]));
-    if there >= read_version(&held) {
+fn carry_over(batch: &mut Batch, held: Raw) {
+    let index = batch.items.iter().position(|raw| raw.key == held.key);
+    let stored_version = index.and_then(|index| read_version(&batch.items[index]));
+    if stored_version >= read_version(&held) {
         return;
     }
     let kind = if is_catalog(&held) { "catalog" } else { "plan" };
     log::info!("sync: `{}` of {} is kept, the store has an older one", held.key, held.position);
     figures::count_carried(kind);
-    match place {
-        Some(place) => batch.items[place] = held,
+    match index {
+        Some(index) => batch.items[index] = held,
         None => batch.items.push(held),
     }
 }
 
 /// The plans that this node has carried over from before an era, and the store may lack.
-pub(crate) fn list_plans(node: &Node, era: Era) -> Vec<(id::Domain, Document)> {
+pub(crate) fn list_carried_plans(node: &Node, era: Era) -> Vec<(id::Domain, Document)> {
     let former = node.feed.list(|raw| raw.position.era() < era);
     let plans = former.into_iter().filter_map(|raw| match decode(raw) {
         Ok(Change::Own(item)) => decode_plan(&item).ok()?,
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,7 +1,7 @@
 //! A node on the users' platform: one process a box.
 //!
 //! [`sync`] keeps what the node believes in step with the platform's store, read
-//! here or by another node ([`peer`], [`feed`], [`member`], whose entries `presence` removes), and `apply` takes it in; `era` says
+//! here or by another node ([`peer`], [`feed`], [`registration`], whose entries `presence` removes), and `apply` takes it in; `era` says
 //! what is carried over when the store comes back from an older copy.
 //! [`collect`] tells nodes what the others have in flight, and `dispatch` asks one of
 //! them which group takes a request. [`front`] takes callers' requests, [`request`]
@@ -32,7 +32,6 @@
 pub mod flight;
 pub mod front;
 pub mod log;
-pub mod member;
 pub mod news;
 pub mod peer;
 pub mod plain;
@@ -42,6 +41,7 @@
 pub mod program;
 mod pulse;
 mod record;
+pub mod registration;
 mod relay;
 pub mod request;
 mod retries;
--- a/crates/node/src/presence.rs
+++ b/crates/node/src/presence.rs
@@ -7,22 +7,22 @@
 use cottoncrank_platform::item::{Change, Item, decode};
 use cottoncrank_platform::store::{Commit, Outcome, StoreError};
 
-use crate::member;
+use crate::registration;
 use crate::state::Node;
 
 /// How often a collector looks which nodes are gone.
-const LOOK: Millis = Millis(1000);
+const CHECK_INTERVAL: Millis = Millis(1000);
 
 /// The pause after a failed call.
-const PAUSE: Millis = Millis(5000);
+const RETRY_DELAY: Millis = Millis(5000);
 
 /// Entries in one write: each counts twice against the store's limit, with its condition.
-const REMOVES_MAX: usize = 15;
+const MAX_REMOVES: usize = 15;
 
 /// Removes entries until the process ends.
 pub async fn run(node: Arc<Node>) {
     loop {
-        tokio::time::sleep(LOOK.duration()).await;
+        tokio::time::sleep(CHECK_INTERVAL.duration()).await;
         let gone: BTreeSet<id::Node> = {
             let settings = node.settings();
             let (directory, now) = (node.directory.lock(), node.now());
@@ -32,10 +32,10 @@
         if gone.is_empty() {
             continue;
         }
-        for entries in list_entries(&node, &gone).chunks(REMOVES_MAX) {
+        for entries in list_entries(&node, &gone).chunks(MAX_REMOVES) {
             if let Err(error) = remove(&node, entries).await {
                 log::info!("presence: the entries of nodes that are gone were not removed: {error}");
-                tokio::time::sleep(PAUSE.duration()).await;
+                tokio::time::sleep(RETRY_DELAY.duration()).await;
                 break;
             }
         }
@@ -44,11 +44,11 @@
 
 /// The entries of these nodes, as this node knows them.
 fn list_entries(node: &Node, gone: &BTreeSet<id::Node>) -> Vec<Item> {
-    let own = node.feed.list(|_| true).into_iter().filter_map(|raw| match decode(raw) {
+    let items = node.feed.list(|_| true).into_iter().filter_map(|raw| match decode(raw) {
         Ok(Change::Own(item)) => Some(item),
         _ => None,
     });
-    own.filter(|item| member::read_name(&item.key).is_some_and(|name| gone.contains(&name))).collect()
+    items.filter(|item| registration::parse_key(&item.key).is_some_and(|name| gone.contains(&name))).collect()
 }
 
 /// Removes entries, unless one of them has been written again.
--- a/crates/node/src/start.rs
+++ b/crates/node/src/start.rs
@@ -9,7 +9,7 @@
 use tokio::task::JoinSet;
 
 use crate::state::Node;
-use crate::{collect, decider, front, member, peer, presence, pulse, record, sync};
+use crate::{collect, decider, front, peer, presence, pulse, record, registration, sync};
 
 /// Kept of the time between the order to stop and the kill.
 const GRACE_MARGIN: Millis = Millis(700);
@@ -43,7 +43,7 @@
     let mut tasks = JoinSet::new();
     tasks.spawn(sync::run(node.clone()));
     tasks.spawn(sync::run_expiry(node.clone()));
-    tasks.spawn(member::run(node.clone()));
+    tasks.spawn(registration::run(node.clone()));
     tasks.spawn(presence::run(node.clone()));
     tasks.spawn(collect::run(node.clone()));
     tasks.spawn(record::run(node.clone()));
--- a/crates/node/src/sync.rs
+++ b/crates/node/src/sync.rs
@@ -16,8 +16,8 @@
 use crate::apply::{Proof, Update, apply_update};
 use crate::feed::{self, UnpackError};
 use crate::figures;
-use crate::member;
 use crate::peer::{self, Ask, AskError};
+use crate::registration;
 use crate::state::Node;
 
 /// How long one watch waits. An answer without changes proves that the keys
@@ -169,8 +169,8 @@
 
     /// Reads which nodes there are in this hall. Returns whether that succeeded.
     async fn read_peers(&self, settings: &Settings) -> bool {
-        match self.node.store.read_own_stale(&member::write_prefix(&settings.hall)).await {
-            Ok(items) => member::take_entries(&self.node, &items),
+        match self.node.store.read_own_stale(&registration::format_prefix(&settings.hall)).await {
+            Ok(items) => registration::apply_entries(&self.node, &items),
             Err(error) => {
                 log::info!("sync: other nodes are not known: {error}");
                 return false;
