--- a/crates/node/src/decider.rs
+++ b/crates/node/src/decider.rs
@@ -29,8 +29,8 @@
 use thiserror::Error;
 
 use crate::era;
+use crate::feedback;
 use crate::figures;
-use crate::news;
 use crate::plans::{PlanError, Plans, StoredPlan, encode_plan, read_plans};
 use crate::prober;
 use crate::state::{Holder, Node};
@@ -339,7 +339,7 @@
             let bounds = self.node.settings().bounds.clone();
             let documents = self.plans.list_documents();
             let in_flight = self.node.sum_all_in_flight();
-            let rejecting = news::list_lasting(&self.node);
+            let rejecting = feedback::list_long_rejecting(&self.node);
             let started = self.node.now();
             let (step, census) = {
                 let roster = self.node.roster.lock();
--- a/crates/node/src/dispatch.rs
+++ b/crates/node/src/dispatch.rs
@@ -11,8 +11,8 @@
 use cottoncrank_fleet::trials::Ruling;
 
 use crate::attempt::Job;
-use crate::collect::{self, find_collector, write_report};
 use crate::peer;
+use crate::reporting::{self, build_report, find_collector};
 use crate::retries;
 use crate::state::Node;
 use crate::throttle;
@@ -43,7 +43,7 @@
     let (_, model) = job.lane();
     let settings = node.settings();
     let question = Question {
-        report: write_report(node, Scope::Node, node.sum_in_flight()),
+        report: build_report(node, Scope::Node, node.sum_in_flight()),
         service: job.service.clone(),
         model: model?,
         prompt: job.terms.prompt.unwrap_or(0),
@@ -72,13 +72,13 @@
 pub(crate) fn find_asked(node: &Node) -> Option<Peer> {
     let hall = &node.settings().hall;
     let mut avoided = node.unanswering.lock();
-    avoided.forget(node.now());
+    avoided.evict_expired(node.now());
     find_collector(node, hall, &avoided)
 }
 
 /// A collector did not answer a question and is not asked for a while.
 pub(crate) fn avoid(node: &Node, collector: Peer) {
-    node.unanswering.lock().add(collector.node, node.now() + AVOID);
+    node.unanswering.lock().insert(collector.node, node.now() + AVOID);
 }
 
 fn list_epochs(node: &Node, runners: &[id::Runner]) -> Vec<Epoch> {
@@ -89,7 +89,7 @@
 
 /// As the collector, takes in what the asking node has in flight and chooses a group.
 pub fn take(node: &Node, question: Question) -> Reply {
-    collect::note(node, question.report.clone());
+    reporting::record_report(node, question.report.clone());
     let reply = choose(node, &question);
     if let Reply::Take(promise) = reply {
         node.reports.lock().begin(&question.report.node, promise.epoch);
--- a/crates/node/src/figures.rs
+++ b/crates/node/src/figures.rs
@@ -18,8 +18,8 @@
 use tokio::net::TcpListener;
 
 use crate::answer::{Answer, Body};
+use crate::feedback::{self, Backpressure};
 use crate::front::pause_accepting;
-use crate::news::{self, Pressure};
 use crate::state::Node;
 
 /// The port of the figures, on the address that other nodes use. Also named in
@@ -173,23 +173,23 @@
             let model = model.as_ref().map_or(String::new(), ToString::to_string);
             metrics::gauge!("cottoncrank_limit", "model" => model).set(limit.level());
         }
-        for (hall, pressure) in news::measure(&node) {
+        for (hall, pressure) in feedback::measure_backpressure(&node) {
             show_pressure(hall.as_str(), &pressure);
         }
         tokio::time::sleep(SAMPLE.duration()).await;
     }
 }
 
-fn show_pressure(hall: &str, pressure: &Pressure) {
+fn show_pressure(hall: &str, pressure: &Backpressure) {
     let set = |state: &'static str, count: usize| {
         metrics::gauge!("cottoncrank_runners_saying", "hall" => hall.to_owned(), "state" => state)
             .set(count as f64);
     };
-    set("backoff", pressure.unwilling);
+    set("backoff", pressure.backing_off);
     set("leaving", pressure.leaving);
-    set("limited", pressure.limited);
+    set("limited", pressure.rate_limited);
     metrics::gauge!("cottoncrank_limited_allowed", "hall" => hall.to_owned())
-        .set(pressure.allowed.0 as f64 / 1000.0);
+        .set(pressure.allowed_rate.0 as f64 / 1000.0);
 }
 
 /// Shows the figures until the process ends.
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -3,7 +3,7 @@
 //! [`sync`] keeps what the node believes in step with the platform's store, read
 //! here or by another node ([`peer`], [`feed`], [`registration`], whose entries `presence` removes), and `apply` takes it in; `era` says
 //! what is carried over when the store comes back from an older copy.
-//! [`collect`] tells nodes what the others have in flight, and `dispatch` asks one of
+//! [`reporting`] tells nodes what the others have in flight, and `dispatch` asks one of
 //! them which group takes a request. [`front`] takes callers' requests, [`request`]
 //! admits and routes them, [`plain`] and [`stream`] run them at runners (a stream try by
 //! try, in `tries`, from a `source`, passed on by `relay`; `retries` pays for further tries), and [`decider`] gives orders
@@ -18,21 +18,20 @@
 pub mod answer;
 mod apply;
 pub mod attempt;
-mod avoid;
 mod backoff;
 mod candidates;
 pub mod channel;
-pub mod collect;
 mod crash;
 pub mod decider;
+mod denylist;
 mod dispatch;
 mod era;
 pub mod feed;
+pub mod feedback;
 pub mod figures;
 pub mod flight;
 pub mod front;
 pub mod log;
-pub mod news;
 pub mod peer;
 pub mod plain;
 pub mod plans;
@@ -43,6 +42,7 @@
 mod record;
 pub mod registration;
 mod relay;
+pub mod reporting;
 pub mod request;
 mod retries;
 mod source;
--- a/crates/node/src/peer.rs
+++ b/crates/node/src/peer.rs
@@ -22,11 +22,11 @@
 use tokio::net::{TcpListener, TcpStream};
 
 use crate::answer::{Answer, Body};
-use crate::collect;
 use crate::dispatch;
 use crate::feed::UnpackError;
 use crate::figures;
 use crate::front::pause_accepting;
+use crate::reporting;
 use crate::retries::{self, Loan};
 use crate::state::Node;
 use crate::suspects::{self, Letter};
@@ -187,7 +187,10 @@
     if path == REPORT_PATH {
         if let Ok(Letter { question, push }) = rmp_serde::from_slice::<Letter<Report>>(&bytes) {
             let pull = suspects::answer(node, &push, question.scope);
-            return reply_encoded(&suspects::Reply { answer: collect::take(node, question), pull });
+            return reply_encoded(&suspects::Reply {
+                answer: reporting::receive_report(node, question),
+                pull,
+            });
         }
     } else if path == GROUP_PATH {
         if let Ok(Letter { question, push }) = rmp_serde::from_slice::<Letter<Question>>(&bytes) {
--- a/crates/node/src/record.rs
+++ b/crates/node/src/record.rs
@@ -12,7 +12,7 @@
 use cottoncrank_platform::store::{Commit, Outcome};
 use thiserror::Error;
 
-use crate::collect::find_collector;
+use crate::reporting::find_collector;
 use crate::state::Node;
 use crate::suspects;
 
--- a/crates/node/src/collect.rs
+++ b/crates/node/src/reporting.rs
@@ -10,8 +10,8 @@
 use cottoncrank_net::client::{Client, Traffic};
 use tokio::task::JoinSet;
 
-use crate::avoid::Avoided;
-use crate::news;
+use crate::denylist::Denylist;
+use crate::feedback;
 use crate::peer;
 use crate::retries;
 use crate::state::Node;
@@ -19,85 +19,89 @@
 
 /// The least pause between two reports of a node. Within it several requests end
 /// only at a node that has many.
-const PERIOD: Millis = Millis(50);
+const MIN_REPORT_INTERVAL: Millis = Millis(50);
 
 /// The pause of a collector between what it tells those of the other halls: by then a
 /// busy group has begun some two requests.
-const PERIOD_HALLS: Millis = Millis(150);
+const HALL_REPORT_INTERVAL: Millis = Millis(150);
 
 /// The longest pause between two reports; three of them fit into the time for
 /// which a report counts.
-const PERIOD_MAX: Millis = Millis(500);
+const MAX_REPORT_INTERVAL: Millis = Millis(500);
 
 /// How long a collector may take to answer: much more than the way there and back.
-const ANSWER: Millis = Millis(150);
+const REPLY_TIMEOUT: Millis = Millis(150);
 
 /// A collector that does not answer is not told for this long.
-const AVOID: Millis = Millis(2000);
+const RETRY_DELAY: Millis = Millis(2000);
 
 /// Tells and learns until the process ends.
 pub async fn run(node: Arc<Node>) {
     let client = Client::new(Traffic::default());
     loop {
         let settings = node.settings();
-        node.untold.lock().forget(node.now());
+        node.untold.lock().evict_expired(node.now());
         throttle::forget(&node);
         let collector = find_collector(&node, &settings.hall, &node.untold.lock());
         let failed = match collector {
             Some(collector) if collector.node != settings.node => {
-                let told = tell(&node, &client, &collector).await;
-                if told.is_ok() {
+                let outcome = send_report(&node, &client, &collector).await;
+                if outcome.is_ok() {
                     node.presence.lock().stop_collecting();
                     node.pool.lock().resign();
                 }
-                told.err().into_iter().collect()
+                outcome.err().into_iter().collect()
             }
-            _ => tell_halls(&node, &client, list_others(&node, &settings.hall)).await,
+            _ => send_hall_reports(&node, &client, list_other_collectors(&node, &settings.hall)).await,
         };
         for name in failed {
-            node.untold.lock().add(name, node.now() + AVOID);
+            node.untold.lock().insert(name, node.now() + RETRY_DELAY);
         }
-        wait_turn(&node).await;
+        wait_until_due(&node).await;
     }
 }
 
 /// Waits until a report is due: as a collector soon, else once a request has ended.
-async fn wait_turn(node: &Node) {
+async fn wait_until_due(node: &Node) {
     if node.reports.lock().count_nodes(node.now()) > 0 {
-        return tokio::time::sleep(PERIOD_HALLS.duration()).await;
+        return tokio::time::sleep(HALL_REPORT_INTERVAL.duration()).await;
     }
-    tokio::time::sleep(PERIOD.duration()).await;
+    tokio::time::sleep(MIN_REPORT_INTERVAL.duration()).await;
     // Either way a report is due then.
-    let _ = tokio::time::timeout((PERIOD_MAX - PERIOD).duration(), node.flight_ended.notified()).await;
+    let _ = tokio::time::timeout(
+        (MAX_REPORT_INTERVAL - MIN_REPORT_INTERVAL).duration(),
+        node.flight_ended.notified(),
+    )
+    .await;
 }
 
 /// The collector of a hall.
-pub(crate) fn find_collector(node: &Node, hall: &id::Hall, avoided: &Avoided) -> Option<Peer> {
+pub(crate) fn find_collector(node: &Node, hall: &id::Hall, denylist: &Denylist) -> Option<Peer> {
     let directory = node.directory.lock();
     let mut ranked = directory.list_collectors(hall).into_iter();
-    ranked.find(|peer| !avoided.contains(&peer.node)).cloned()
+    ranked.find(|peer| !denylist.contains(&peer.node)).cloned()
 }
 
 /// The collectors of the other halls.
-fn list_others(node: &Node, hall: &id::Hall) -> Vec<Peer> {
+fn list_other_collectors(node: &Node, hall: &id::Hall) -> Vec<Peer> {
     let halls: Vec<id::Hall> = node.directory.lock().list_halls().into_iter().cloned().collect();
-    let others = halls.iter().filter(|other| *other != hall);
-    others.filter_map(|other| find_collector(node, other, &node.untold.lock())).collect()
+    let other_halls = halls.iter().filter(|other| *other != hall);
+    other_halls.filter_map(|other| find_collector(node, other, &node.untold.lock())).collect()
 }
 
 /// Tells the collector of this hall. Returns its name if it does not answer.
-async fn tell(node: &Node, client: &Client, collector: &Peer) -> Result<(), id::Node> {
-    let asked = node.now();
-    let report = write_report(node, Scope::Node, node.sum_in_flight());
-    let told = peer::report(node, client, collector, &report, ANSWER).await;
-    match told {
+async fn send_report(node: &Node, client: &Client, collector: &Peer) -> Result<(), id::Node> {
+    let sent = node.now();
+    let report = build_report(node, Scope::Node, node.sum_in_flight());
+    let outcome = peer::report(node, client, collector, &report, REPLY_TIMEOUT).await;
+    match outcome {
         Ok(reply) => {
-            news::take(node, &reply.news, Scope::Hall);
-            put_view(node, reply.sum, asked);
+            feedback::apply_digest(node, &reply.news, Scope::Hall);
+            store_fleet_load(node, reply.sum, sent);
             Ok(())
         }
         Err(error) => {
-            log::info!("collect: {} is not told for {AVOID}: {error}", collector.node);
+            log::info!("collect: {} is not told for {RETRY_DELAY}: {error}", collector.node);
             Err(collector.node.clone())
         }
     }
@@ -105,35 +109,35 @@
 
 /// As the collector of this hall, tells those of the others. Returns the names of
 /// those that do not answer.
-async fn tell_halls(node: &Arc<Node>, client: &Client, others: Vec<Peer>) -> Vec<id::Node> {
-    let asked = node.now();
+async fn send_hall_reports(node: &Arc<Node>, client: &Client, others: Vec<Peer>) -> Vec<id::Node> {
+    let sent = node.now();
     node.presence.lock().start_collecting();
     retries::keep_pool(node);
-    let sum = node.reports.lock().sum_hall(&node.sum_in_flight(), asked);
-    let mut telling = JoinSet::new();
+    let sum = node.reports.lock().sum_hall(&node.sum_in_flight(), sent);
+    let mut sending = JoinSet::new();
     for collector in others {
         let (node, client) = (node.clone(), client.clone());
-        let report = write_report(&node, Scope::Hall, sum.clone());
-        telling.spawn(async move {
-            let told = peer::report(&node, &client, &collector, &report, ANSWER).await;
-            told.map_err(|error| {
-                log::info!("collect: {} is not told for {AVOID}: {error}", collector.node);
+        let report = build_report(&node, Scope::Hall, sum.clone());
+        sending.spawn(async move {
+            let outcome = peer::report(&node, &client, &collector, &report, REPLY_TIMEOUT).await;
+            outcome.map_err(|error| {
+                log::info!("collect: {} is not told for {RETRY_DELAY}: {error}", collector.node);
                 collector.node
             })
         });
     }
-    let outcomes = telling.join_all().await;
-    put_view(node, sum_others(node, &Sum::default(), Scope::Node), asked);
+    let outcomes = sending.join_all().await;
+    store_fleet_load(node, sum_others(node, &Sum::default(), Scope::Node), sent);
     outcomes.into_iter().filter_map(Result::err).collect()
 }
 
-fn put_view(node: &Node, others: Sum, asked: Millis) {
+fn store_fleet_load(node: &Node, others: Sum, sent: Millis) {
     let known = node.directory.lock().count();
-    node.view.lock().put(others, known, asked);
+    node.view.lock().put(others, known, sent);
 }
 
 /// What this node tells a collector.
-pub fn write_report(node: &Node, scope: Scope, sum: Sum) -> Report {
+pub fn build_report(node: &Node, scope: Scope, sum: Sum) -> Report {
     let settings = node.settings();
     let doubted = node.list_doubted();
     Report {
@@ -142,27 +146,27 @@
         scope,
         sum,
         doubted,
-        news: news::tell(node, scope),
+        news: feedback::build_digest(node, scope),
         wants: throttle::list_wants(node, scope),
     }
 }
 
 /// Takes a report in. Returns what its sender is not told by others: a node what
 /// all others have in flight, a collector what this hall has.
-pub fn take(node: &Node, report: Report) -> Reply {
+pub fn receive_report(node: &Node, report: Report) -> Reply {
     let (scope, own) = (report.scope, report.sum.clone());
-    note(node, report);
+    record_report(node, report);
     let mut sum = sum_others(node, &node.sum_in_flight(), scope);
     if scope == Scope::Node {
         sum.subtract(&own);
     }
-    Reply { sum, news: news::answer(node, scope) }
+    Reply { sum, news: feedback::build_reply_digest(node, scope) }
 }
 
 /// Keeps what a report says.
-pub fn note(node: &Node, report: Report) {
+pub fn record_report(node: &Node, report: Report) {
     let now = node.now();
-    news::take(node, &report.news, report.scope);
+    feedback::apply_digest(node, &report.news, report.scope);
     match report.scope {
         Scope::Node => node.presence.lock().record_report(&report.node, now),
         Scope::Hall => {
--- a/crates/node/src/start.rs
+++ b/crates/node/src/start.rs
@@ -9,7 +9,7 @@
 use tokio::task::JoinSet;
 
 use crate::state::Node;
-use crate::{collect, decider, front, peer, presence, pulse, record, registration, sync};
+use crate::{decider, front, peer, presence, pulse, record, registration, reporting, sync};
 
 /// Kept of the time between the order to stop and the kill.
 const GRACE_MARGIN: Millis = Millis(700);
@@ -45,7 +45,7 @@
     tasks.spawn(sync::run_expiry(node.clone()));
     tasks.spawn(registration::run(node.clone()));
     tasks.spawn(presence::run(node.clone()));
-    tasks.spawn(collect::run(node.clone()));
+    tasks.spawn(reporting::run(node.clone()));
     tasks.spawn(record::run(node.clone()));
     tasks.spawn(pulse::run(node.clone()));
     tasks.spawn(peer::serve(node.clone(), listeners.peers));
--- a/crates/node/src/state.rs
+++ b/crates/node/src/state.rs
@@ -36,8 +36,8 @@
 use rand::Rng;
 use tokio::sync::{Notify, watch};
 
-use crate::avoid::Avoided;
 use crate::crash::Findings;
+use crate::denylist::Denylist;
 use crate::feed::Feed;
 use crate::figures;
 use crate::flight::Lane;
@@ -108,9 +108,9 @@
     /// First events that the collector was not told of yet.
     pub(crate) samples: Mutex<Vec<Sample>>,
     /// Collectors that did not answer when told what is in flight.
-    pub(crate) untold: Mutex<Avoided>,
+    pub(crate) untold: Mutex<Denylist>,
     /// Collectors that did not answer a question for a group.
-    pub(crate) unanswering: Mutex<Avoided>,
+    pub(crate) unanswering: Mutex<Denylist>,
     /// Requests that end runners, as far as this node knows.
     pub suspects: Mutex<Table>,
     /// Up to where other nodes were told of them.
--- a/crates/node/src/sync.rs
+++ b/crates/node/src/sync.rs
@@ -188,7 +188,7 @@
             match self.query(&reader, Millis(0)).await {
                 Ok(update) => {
                     self.sources.record_answer(update.last_contact, self.node.now());
-                    self.apply(update, false).await;
+                    self.advance(update, false).await;
                     return false;
                 }
                 Err(error) => {
@@ -231,7 +231,7 @@
                     _ => self.sources.record_answer(update.last_contact, now),
                 }
                 let serving = !matches!(source, Source::Reader(_));
-                self.apply(update, serving).await;
+                self.advance(update, serving).await;
             }
             (Err(SyncError::Store(StoreError::Forgotten)), _) => self.record_compaction(now),
             (Err(SyncError::Store(error @ StoreError::CameBack(_))), _) => {
@@ -342,7 +342,7 @@
         Ok(Update { batch, whole: reply.whole, proof, last_contact: answered - staleness })
     }
 
-    async fn apply(&mut self, update: Update, serving: bool) {
+    async fn advance(&mut self, update: Update, serving: bool) {
         if !self.store_reached {
             log::info!("sync: the store is reached again, at {}", update.batch.position);
             self.node.roster.lock().start_grace_period(self.node.now());
