--- a/crates/node/src/apply.rs
+++ b/crates/node/src/apply.rs
@@ -11,12 +11,12 @@
 
 use crate::decider::{self, LEASE_KEY};
 use crate::era;
+use crate::invalid_items::ItemKind;
 use crate::plans::decode_plan;
 use crate::record;
 use crate::registration;
 use crate::retries;
 use crate::state::Node;
-use crate::unreadable::Part;
 
 /// Changes of the store, or all of it.
 pub struct Update {
@@ -131,13 +131,13 @@
         }
         Ok(Change::Own(item)) => apply_own_item(node, &item),
         Ok(Change::OwnGone(key)) => apply_own_removal(node, &key),
-        Ok(Change::Foreign(key)) => node.note_unreadable(&key, Part::Foreign, "key", "nothing of ours"),
+        Ok(Change::Foreign(key)) => node.note_unreadable(&key, ItemKind::Foreign, "key", "nothing of ours"),
         Err(error @ ItemError::Catalog(_)) => {
-            node.note_unreadable("catalog", Part::Catalog, "form", error);
+            node.note_unreadable("catalog", ItemKind::Catalog, "form", error);
             return false;
         }
         Err(ItemError::Runner(name, error)) => {
-            node.note_unreadable(&name, Part::Runner, error.reason(), &error);
+            node.note_unreadable(&name, ItemKind::Runner, error.reason(), &error);
             if let Ok(id) = name.parse() {
                 node.discard_runner(&id);
             }
@@ -157,14 +157,14 @@
                 node.directory.lock().insert(peer);
                 retries::take_share(node);
             }
-            Err(error) => node.note_unreadable(&item.key, Part::Node, "form", error),
+            Err(error) => node.note_unreadable(&item.key, ItemKind::Node, "form", error),
         }
         return;
     }
     if let Some(entry) = record::read_entry(item) {
         match entry {
             Ok(row) => record::take(node, &row),
-            Err(error) => node.note_unreadable(&item.key, Part::Suspect, "form", error),
+            Err(error) => node.note_unreadable(&item.key, ItemKind::Suspect, "form", error),
         }
         return;
     }
@@ -176,9 +176,9 @@
             drop(plans);
             node.plans_changed.send_modify(|version| *version += 1);
         }
-        Ok(None) => node.note_unreadable(&item.key, Part::Foreign, "key", "of no kind that is known"),
+        Ok(None) => node.note_unreadable(&item.key, ItemKind::Foreign, "key", "of no kind that is known"),
         // The groups that were known go on; the deciding node leaves the domain alone.
-        Err(error) => node.note_unreadable(&item.key, Part::Plan, "form", error),
+        Err(error) => node.note_unreadable(&item.key, ItemKind::Plan, "form", error),
     }
 }
 
--- a/crates/node/src/unreadable.rs
+++ b/crates/node/src/invalid_items.rs
@@ -6,14 +6,14 @@
 use cottoncrank::Millis;
 
 /// The log tells of one key this often at the most.
-const PAUSE: Millis = Millis(1000);
+const LOG_INTERVAL: Millis = Millis(1000);
 
 /// So many keys are remembered; beyond that all are forgotten, and told of once more.
-const KEYS_MAX: usize = 1000;
+const MAX_KEYS: usize = 1000;
 
 /// What an item is, as its key says.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Part {
+pub(crate) enum ItemKind {
     /// A runner's entry.
     Runner,
     /// The operators' configuration.
@@ -28,31 +28,31 @@
     Foreign,
 }
 
-impl Part {
+impl ItemKind {
     /// The name that logs and metrics use.
     pub(crate) fn name(self) -> &'static str {
         match self {
-            Part::Runner => "runner",
-            Part::Catalog => "catalog",
-            Part::Plan => "plan",
-            Part::Node => "node",
-            Part::Suspect => "suspect",
-            Part::Foreign => "foreign",
+            ItemKind::Runner => "runner",
+            ItemKind::Catalog => "catalog",
+            ItemKind::Plan => "plan",
+            ItemKind::Node => "node",
+            ItemKind::Suspect => "suspect",
+            ItemKind::Foreign => "foreign",
         }
     }
 }
 
 /// When the log last told of each key.
 #[derive(Debug, Default)]
-pub(crate) struct Unreadable(HashMap<String, Millis>);
+pub(crate) struct InvalidItems(HashMap<String, Millis>);
 
-impl Unreadable {
+impl InvalidItems {
     /// Whether the log tells of a key at `now`.
-    pub(crate) fn tells(&mut self, key: &str, now: Millis) -> bool {
-        if self.0.get(key).is_some_and(|told| now < *told + PAUSE) {
+    pub(crate) fn should_log(&mut self, key: &str, now: Millis) -> bool {
+        if self.0.get(key).is_some_and(|logged| now < *logged + LOG_INTERVAL) {
             return false;
         }
-        if self.0.len() >= KEYS_MAX {
+        if self.0.len() >= MAX_KEYS {
             self.0.clear();
         }
         self.0.insert(key.to_owned(), now);
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -12,7 +12,7 @@
 //! ended under a request, `suspects` exchanges that
 //! with other nodes and says what becomes of the request, and `record` keeps it in the store. `pulse`
 //! notices that the process did not run for a while.
-//! `unreadable` bounds what the log tells of items that cannot be read. All state stands in
+//! `invalid_items` bounds what the log tells of items that cannot be read. All state stands in
 //! [`state::Node`].
 
 pub mod answer;
@@ -31,6 +31,7 @@
 pub mod figures;
 pub mod flight;
 pub mod front;
+mod invalid_items;
 pub mod log;
 pub mod peer;
 pub mod plain;
@@ -53,4 +54,3 @@
 pub mod sync;
 mod throttle;
 mod tries;
-mod unreadable;
--- a/crates/node/src/state.rs
+++ b/crates/node/src/state.rs
@@ -41,9 +41,9 @@
 use crate::feed::Feed;
 use crate::figures;
 use crate::flight::Lane;
+use crate::invalid_items::{InvalidItems, ItemKind};
 use crate::retries;
 use crate::suspects;
-use crate::unreadable::{Part, Unreadable};
 
 /// The node that holds the lease for deciding.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -88,7 +88,7 @@
     /// Rises whenever a plan changes.
     pub plans_changed: watch::Sender<u64>,
     /// Items that could not be read, as far as the log tells of them.
-    pub(crate) unreadable: Mutex<Unreadable>,
+    pub(crate) unreadable: Mutex<InvalidItems>,
     /// What was seen of the runners.
     pub ledger: Mutex<Ledger>,
     /// What runners have said of themselves.
@@ -309,9 +309,9 @@
     }
 
     /// An item of the store cannot be read.
-    pub(crate) fn note_unreadable(&self, key: &str, part: Part, reason: &'static str, why: impl Display) {
+    pub(crate) fn note_unreadable(&self, key: &str, part: ItemKind, reason: &'static str, why: impl Display) {
         figures::count_unreadable(part.name(), reason);
-        if self.unreadable.lock().tells(key, self.now()) {
+        if self.unreadable.lock().should_log(key, self.now()) {
             log::error!("store: `{key}` ({}) is not used: {why}", part.name());
         }
     }
