--- a/crates/node/src/decider.rs
+++ b/crates/node/src/decider.rs
@@ -1,9 +1,9 @@
-//! Deciding for the fleet, while this node holds the lease for it.
+//! Plans the groups of the fleet while this node holds the decider lease.
 //!
-//! Any node can decide; the store's lease names one. Plans are written under
-//! the condition that the lease's key has not changed, so a node that lost it
-//! unawares writes nothing. Orders follow what was written, and an order that
-//! comes late names an epoch that is over.
+//! Any node can become the decider; a lease in the store elects one. Plans are written on the condition
+//! that the lease's key is unchanged, so a node that has lost the lease without knowing it writes
+//! nothing. Orders are sent only for plans that were written. An order that arrives late names an epoch
+//! that is over, so the runner rejects it.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -35,53 +35,54 @@
 use crate::prober;
 use crate::state::{Holder, Node};
 
-/// The key that goes with the lease; its value names the deciding node.
+/// The key that is bound to the lease. Its value names the decider.
 pub const LEASE_KEY: &str = "decider";
 
-/// How long the lease lasts without being renewed. A lost decider leaves groups
-/// unrepaired for this long.
+/// How long the lease lasts without being renewed. After the decider is lost, no group is repaired for
+/// this long.
 const LEASE_TTL: Millis = Millis(1600);
 
-/// How often the lease is renewed; two renewals may fail.
+/// How often the lease is renewed. Two renewals in a row may fail before the lease is over.
 const RENEW_INTERVAL: Millis = Millis(400);
 
-/// A decider stops this long before its lease may be over.
+/// How long before the possible end of its lease a decider stops.
 const LEASE_MARGIN: Millis = Millis(300);
 
-/// Each candidate waits for this long for each one before it, and up to this long more,
-/// so that most see that one was first and spare the store two calls. An election is
-/// known to the others after some 50 ms.
+/// The delay of a candidate for each candidate that ranks before it; jitter adds up to the same again.
+/// Most candidates then see that another one was elected and save the store two calls. The others learn
+/// of an election after about 50 ms.
 const CANDIDATE_DELAY: Millis = Millis(20);
 
-/// No candidate waits longer than this for those before it: they may all be cut off.
+/// The upper limit of a candidate's delay before jitter, because all candidates that rank before it may
+/// be disconnected.
 const MAX_CANDIDATE_DELAY: Millis = Millis(2000);
 
-/// The pause after standing: the store tells of the outcome meanwhile.
+/// The pause after a campaign, during which the outcome arrives from the store.
 const ELECTION_PAUSE: Millis = Millis(250);
 
-/// How often a node that knows too little to decide looks again.
+/// How often a node that is not ready to become the decider checks again.
 const NOT_READY_PAUSE: Millis = Millis(50);
 
-/// How often a decider looks at the fleet when nothing has changed.
+/// How often a decider plans when nothing has changed.
 const PLAN_INTERVAL: Millis = Millis(250);
 
-/// While the plan of a domain cannot be read, all are read anew this often: an operator may
-/// have removed it.
+/// How often all plans are read again while the plan of a domain is invalid. An operator may have
+/// removed it.
 const REREAD_INTERVAL: Millis = Millis(2000);
 
-/// What the runners of a service are doing is logged once in this time at most.
+/// The minimum time between two census lines in the log for one service.
 const CENSUS_LOG_INTERVAL: Millis = Millis(500);
 
-/// Changes are gathered for this long before the decider looks.
+/// How long changes are collected before the decider plans.
 const BATCH_DELAY: Millis = Millis(30);
 
-/// How long an order may take. Runners answer within milliseconds.
+/// The timeout of an order. Runners answer within milliseconds.
 const ORDER_TIMEOUT: Millis = Millis(1000);
 
-/// A write takes at most this many documents at once, the store's limit less the lease.
+/// The maximum number of plans in one write: the store's limit, less one for the lease's key.
 const MAX_WRITES: usize = 15;
 
-/// Why a node stopped deciding.
+/// Why a node stopped being the decider.
 #[derive(Debug, Error)]
 enum EndError {
     #[error(transparent)]
@@ -90,36 +91,37 @@
     Deposed,
     #[error("the lease may be over")]
     Expired,
-    #[error("the store has come back from an older copy, which has another lease or none")]
+    #[error("the store was restored from an older copy, which has another lease or none")]
     StoreRestored,
     #[error(transparent)]
     Plan(#[from] PlanError),
 }
 
-/// A term of deciding.
+/// One term of this node as the decider.
 struct Term {
     node: Arc<Node>,
     client: Client,
     lease: Lease,
-    /// Where the lease's key was written.
+    /// The store position at which this node wrote the lease's key.
     lease_position: Position,
-    /// Until when the lease surely lasts.
+    /// Until when the lease is certain to last.
     lease_end: Millis,
-    /// When it was last renewed.
+    /// When a renewal was last attempted.
     last_renewed: Millis,
     plans: Plans,
     memory: Arc<Mutex<Memory>>,
     probes: Arc<Mutex<Probes>>,
-    /// What was last logged of each service, and when.
+    /// The census last logged for each service, and when.
     logged_census: HashMap<id::Service, (Census, Millis)>,
-    /// The shares of the runners that were last logged of each service.
+    /// The models' shares of the runners, as last logged for each service.
     logged_shares: HashMap<id::Service, Vec<Share>>,
 }
 
-/// Stands for the lease whenever it is free, and decides while holding it.
+/// Campaigns for the lease whenever it is free, and acts as the decider while holding it.
 pub async fn run(node: Arc<Node>) {
     let mut decider = node.decider.subscribe();
-    // The era in which this node last stood, and whether it decided when that ended.
+    // The store era of this node's last campaign, and whether the node was the decider when that era
+    // ended.
     let (mut era, mut was_decider) = (None, false);
     loop {
         // The sender lives as long as the node.
@@ -132,10 +134,10 @@
         let lease = LEASE_TTL.max(node.settings().lease_min);
         let delay = match era {
             Some(era) if store_era > era && was_decider => Millis(0),
-            // Whoever decided before may be cut off from the store, and sure of its lease.
+            // The former decider may be disconnected from the store and still rely on its lease.
             Some(era) if store_era > era => lease,
-            // The store may have come back just now without the plans that groups serve by: those
-            // that know them go first.
+            // The store may have been restored just now without the plans of groups that serve. Nodes
+            // that have copies of these plans campaign first.
             None if store_era > Era::default() => lease + lease,
             _ => find_candidate_delay(&node),
         };
@@ -148,7 +150,7 @@
         let former_position = holder.map(|holder| holder.position);
         match campaign(&node, former_position).await {
             Ok(Some(mut term)) => {
-                log::info!("decider: this node decides from {}", term.lease_position);
+                log::info!("decider: this node is the decider since store position {}", term.lease_position);
                 let (node, client, probes) = (node.clone(), term.client.clone(), term.probes.clone());
                 let prober = tokio::spawn(prober::run(node, client, probes));
                 term.node.set_deciding(true);
@@ -156,9 +158,9 @@
                 was_decider = term.node.store.era() != term.lease_position.era();
                 term.node.set_deciding(false);
                 prober.abort();
-                log::warn!("decider: this node decides no more: {end}");
+                log::warn!("decider: this node is no longer the decider: {end}");
                 if let Err(error) = term.node.store.end_lease(term.lease).await {
-                    log::info!("decider: the lease runs out by itself: {error}");
+                    log::info!("decider: the lease was not ended and expires by itself: {error}");
                 }
             }
             Ok(None) => {}
@@ -168,20 +170,21 @@
     }
 }
 
-/// How long a candidate waits for those before it.
+/// Returns how long this node waits for the candidates that rank before it.
 fn find_candidate_delay(node: &Node) -> Millis {
     let rank = node.directory.lock().rank_candidate(&node.settings().node) as u64;
     let jitter = Millis(rand::rng().random_range(0..CANDIDATE_DELAY.0));
     Millis(CANDIDATE_DELAY.0 * rank).min(MAX_CANDIDATE_DELAY) + jitter
 }
 
-/// Whether a node decides, as far as the lease's key says. One that cannot be read, but goes
-/// with a lease, is held: its holder may decide until the lease is over.
+/// Whether the lease is held, as far as the lease's key says. If the key has a lease but an invalid
+/// value, the lease counts as held, because its holder may be the decider until the lease is over.
 fn is_held(holder: &Option<Holder>) -> bool {
     holder.as_ref().is_some_and(|holder| holder.leased)
 }
 
-/// Asks the store for the lease. `before` is where a key was written that goes with none.
+/// Asks the store for the lease. `former_position` is the store position of a key that is left without
+/// a lease.
 async fn campaign(node: &Arc<Node>, former_position: Option<Position>) -> Result<Option<Term>, EndError> {
     let asked = node.now();
     let ttl = LEASE_TTL.max(node.settings().lease_min);
@@ -208,17 +211,17 @@
     }))
 }
 
-/// Reads who decides from the lease's key.
+/// Decodes the holder of the lease from the lease's key.
 pub fn decode_holder(item: &Item) -> Holder {
     let name = std::str::from_utf8(&item.value).ok().and_then(|name| name.parse().ok());
     if name.is_none() {
-        log::error!("store: `{}` names no node", item.key);
+        log::error!("store: the value of `{}` is not the name of a node", item.key);
     }
     Holder { position: item.position, leased: item.leased, node: name }
 }
 
 impl Term {
-    /// Whether this node may still decide.
+    /// Returns an error if this node may no longer act as the decider.
     fn check_lease(&self) -> Result<(), EndError> {
         if self.node.store.era() != self.lease_position.era() {
             return Err(EndError::StoreRestored);
@@ -229,8 +232,8 @@
         }
     }
 
-    /// Writes the plans again that the store has lost. Groups serve by them, and epochs were
-    /// given out.
+    /// Writes the plans again that the store has lost. Groups serve according to them, and their epochs
+    /// are in use.
     async fn restore_plans(&mut self) -> Result<(), EndError> {
         let mut writes = Vec::new();
         for (domain, document) in era::list_carried_plans(&self.node, self.lease_position.era()) {
@@ -242,32 +245,33 @@
             }
             let position = stored.and_then(|stored| stored.position);
             self.plans.stored.insert(domain.clone(), StoredPlan { position, document: document.clone() });
-            writes.push((domain, document, vec!["put back, the store had lost it".to_owned()]));
+            writes.push((domain, document, vec!["restored, the store had lost it".to_owned()]));
         }
         writes.extend(self.adopt_groups());
         for writes in writes.chunks(MAX_WRITES) {
             self.renew_lease().await?;
             if !self.write(writes).await? {
-                // What is held now is the older one: nothing is decided from that.
+                // The plans held now are the older ones, which must not be planned from.
                 return Err(EndError::StoreRestored);
             }
         }
         Ok(())
     }
 
-    /// The plans with groups that serve and stand in none, for the store has lost theirs. A
-    /// domain in which one is seen in part is left alone until all is read anew.
+    /// Adopts groups that serve but are in no plan, because the store has lost their plan, and returns
+    /// the plans with them. A domain with a group of which only some members are seen is closed until
+    /// the plans are read again.
     fn adopt_groups(&mut self) -> Vec<(id::Domain, Document, Vec<String>)> {
         let Some(catalog) = self.node.catalog.lock().clone() else { return Vec::new() };
         let adoption = adopt(&catalog.services, &self.node.roster.lock(), &self.plans.list_documents());
         for domain in &adoption.incomplete {
             log::warn!(
-                "decider: {domain}: a group is seen in part that stands in no plan; nothing is decided there"
+                "decider: {domain}: a group that is in no plan has missing members; the domain is not planned"
             );
         }
         self.plans.closed.extend(adoption.incomplete);
         let plans = adoption.plans.into_iter().filter(|(domain, _)| !self.plans.closed.contains(domain));
-        let reason = || vec!["adopt groups that serve, the store had lost their plan".to_owned()];
+        let reason = || vec!["adopt serving groups, the store had lost their plan".to_owned()];
         let plans: Vec<_> = plans.map(|(domain, document)| (domain, document, reason())).collect();
         for (domain, document, _) in &plans {
             let stored = self.plans.stored.get(domain);
@@ -279,7 +283,7 @@
         plans
     }
 
-    /// Decides until the lease is lost.
+    /// Plans until the lease is lost.
     async fn run(&mut self) -> Result<std::convert::Infallible, EndError> {
         self.restore_plans().await?;
         loop {
@@ -291,13 +295,13 @@
             }
             self.reread_plans(now).await;
             self.plan_services().await?;
-            // A change wakes the decider early; both ways it looks again.
+            // The next round begins after a change or after the interval, so the outcome is unused.
             let _ = tokio::time::timeout(PLAN_INTERVAL.duration(), self.node.changed.notified()).await;
             tokio::time::sleep(BATCH_DELAY.duration()).await;
         }
     }
 
-    /// Looks whether plans that could not be read can be, or are gone.
+    /// Reads the plans again if some were invalid, in case they have been corrected or removed.
     async fn reread_plans(&mut self, now: Millis) {
         if self.plans.closed.is_empty() || now < self.plans.read_at + REREAD_INTERVAL {
             return;
@@ -305,11 +309,11 @@
         self.plans.read_at = now;
         match read_plans(&self.node).await {
             Ok(plans) => self.plans = plans,
-            Err(error) => log::info!("decider: plans were not read anew: {error}"),
+            Err(error) => log::info!("decider: the plans could not be read again: {error}"),
         }
     }
 
-    /// Renews the lease, if that is due.
+    /// Renews the lease if a renewal is due.
     async fn renew_lease(&mut self) -> Result<(), EndError> {
         let asked = self.node.now();
         if asked < self.last_renewed + RENEW_INTERVAL {
@@ -332,6 +336,7 @@
         }
     }
 
+    /// Plans each service that has an engine, writes the changed plans and sends the orders.
     async fn plan_services(&mut self) -> Result<(), EndError> {
         let Some(catalog) = self.node.catalog.lock().clone() else { return Ok(()) };
         for service in &catalog.services {
@@ -367,7 +372,7 @@
         Ok(())
     }
 
-    /// Says what the runners of a service are doing, when that has changed.
+    /// Logs how many runners of a service are in which state, if that has changed.
     fn log_census(&mut self, service: &id::Service, census: Census) {
         let now = self.node.now();
         let last = self.logged_census.get(service);
@@ -378,7 +383,7 @@
         self.logged_census.insert(service.clone(), (census, now));
     }
 
-    /// Says which share of the runners each model is to have, when that has changed.
+    /// Logs which share of the runners each model is to have, if that has changed.
     fn log_shares(&mut self, service: &Service) {
         let shares = self.memory.lock().list_shares(service);
         let logged = self.logged_shares.entry(service.id.clone()).or_default();
@@ -393,16 +398,16 @@
         *logged = shares;
     }
 
-    /// Writes the plans that changed, then gives the orders that follow from them.
+    /// Writes the plans that changed, then sends the orders that follow from them.
     ///
-    /// The lease is renewed between the writes: of a fleet with many domains they take longer than
-    /// it lasts where the store is slow.
+    /// The lease is renewed between the writes, because in a fleet with many domains and a slow store the
+    /// writes take longer than the lease lasts.
     async fn execute(&mut self, step: Step) -> Result<(), EndError> {
         for writes in step.writes.chunks(MAX_WRITES) {
             self.renew_lease().await?;
             if !self.write(writes).await? {
-                // Orders follow what is written and nothing else: were the plan made
-                // anew, its epochs would be given out a second time.
+                // Orders are sent only for plans that are written. If this plan was lost and made again,
+                // its epochs would be used a second time.
                 return Ok(());
             }
         }
@@ -413,13 +418,13 @@
         Ok(())
     }
 
-    /// The version of the plan that is written next.
+    /// Returns the version of the plan to be written next.
     fn next_version(&self, domain: &id::Domain) -> u64 {
         self.plans.stored.get(domain).map_or(0, |stored| stored.document.version) + 1
     }
 
-    /// Writes plans. Returns false if they are not known to stand; what the store
-    /// holds has been read then.
+    /// Writes plans. Returns false if it is not certain that they were written; the plans have then been
+    /// read from the store again.
     async fn write(&mut self, writes: &[(id::Domain, Document, Vec<String>)]) -> Result<bool, EndError> {
         let mut commit =
             Commit { expect: vec![(LEASE_KEY.to_owned(), Some(self.lease_position))], ..Commit::default() };
@@ -444,8 +449,8 @@
                 }
                 Ok(true)
             }
-            // After a lost answer the write may stand, or may still be made: both
-            // show as a conflict at the next write, and the plans are read anew.
+            // After a lost answer the write may have been made or may still be made. Both show as a
+            // conflict at the next write, and the plans are read again.
             Ok(Outcome::Conflict) => {
                 self.plans = read_plans(&self.node).await?;
                 let holder = self.node.decider.borrow().as_ref().map(|holder| holder.position);
@@ -457,13 +462,14 @@
             Err(StoreError::LeaseOver) => Err(StoreError::LeaseOver.into()),
             Err(StoreError::CameBack(_)) => Err(EndError::StoreRestored),
             Err(error) => {
-                log::warn!("decider: plans were perhaps not written: {error}");
+                log::warn!("decider: the plans may not have been written: {error}");
                 self.plans = read_plans(&self.node).await?;
                 Ok(false)
             }
         }
     }
 
+    /// Sends an order in the background and records the runner's answer.
     fn send_order(&self, runner: id::Runner, order: Order) {
         let known = self
             .node
@@ -475,9 +481,9 @@
         let (node, client, memory) = (self.node.clone(), self.client.clone(), self.memory.clone());
         let (lease_end, era) = (self.lease_end, self.lease_position.era());
         tokio::spawn(async move {
-            // The box may have been suspended since the order was decided on.
+            // The box may have been suspended since the order was planned.
             if node.now() + LEASE_MARGIN >= lease_end || node.store.era() != era {
-                log::warn!("decider: {order:?} to {runner} is not given, the lease may be over");
+                log::warn!("decider: {order:?} to {runner} is not sent, the lease may be over");
                 return;
             }
             let reply = order::give(&client, address, &runner, &order, ORDER_TIMEOUT).await;
@@ -486,7 +492,7 @@
                     memory.lock().record_acknowledged(&runner, incarnation, &order, node.now())
                 }
                 Ok(Reply::Outdated) => memory.lock().record_refused(&runner, &order),
-                // It is in no such group, or is no more: as good as having left it.
+                // The runner is not in that group, or is gone, which is as good as having left it.
                 Ok(Reply::Unfit | Reply::Gone) if matches!(order, Order::Leave(..)) => {
                     memory.lock().record_acknowledged(&runner, incarnation, &order, node.now());
                 }
--- a/crates/node/src/plans.rs
+++ b/crates/node/src/plans.rs
@@ -1,4 +1,4 @@
-//! The plans of groups as they stand in the store.
+//! Reads and writes the domain plans in the store.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,10 +11,10 @@
 
 use crate::state::Node;
 
-/// The prefix of the plans; a fabric domain's name follows.
+/// The key prefix of the plans. The name of the fabric domain follows.
 const PREFIX: &str = "plan/";
 
-/// A plan that cannot be read or written.
+/// A plan that cannot be encoded or decoded.
 #[derive(Debug, Error)]
 #[error("the plan `{key}` cannot be encoded or decoded: {reason}")]
 pub struct PlanError {
@@ -22,34 +22,34 @@
     reason: String,
 }
 
-/// A plan as it stands in the store.
+/// A plan and its position in the store.
 pub(crate) struct StoredPlan {
-    /// None if the store does not hold it.
+    /// The store position of the plan; none if the store does not hold it.
     pub(crate) position: Option<Position>,
     /// The plan.
     pub(crate) document: Document,
 }
 
-/// The plans as they stand in the store.
+/// The plans as last read from or written to the store.
 #[derive(Default)]
 pub(crate) struct Plans {
-    /// Those that can be read.
+    /// The valid plans.
     pub(crate) stored: BTreeMap<id::Domain, StoredPlan>,
-    /// Domains whose plan cannot be read.
+    /// Domains that are not planned, because their plan is invalid or lost.
     pub(crate) closed: BTreeSet<id::Domain>,
-    /// When they were read.
+    /// When the plans were last read.
     pub(crate) read_at: Millis,
 }
 
 impl Plans {
-    /// What is planned, by domain.
+    /// Returns the plan of each domain.
     pub(crate) fn list_documents(&self) -> plan::Plans {
         self.stored.iter().map(|(domain, stored)| (domain.clone(), stored.document.clone())).collect()
     }
 }
 
-/// Reads all plans. A domain whose plan cannot be read is left alone, for its groups are not
-/// known; all others are decided.
+/// Reads all plans. A domain whose plan is invalid is closed, because its groups are not known. All
+/// other domains are planned.
 pub(crate) async fn read_plans(node: &Node) -> Result<Plans, StoreError> {
     let mut plans = Plans { read_at: node.now(), ..Plans::default() };
     for item in node.store.read_own().await? {
@@ -59,7 +59,7 @@
             }
             Ok(None) => {}
             Err(error) => {
-                log::error!("decider: {error}; nothing is decided in that domain");
+                log::error!("decider: {error}; the domain is not planned");
                 plans.closed.extend(parse_domain(&item.key).and_then(Result::ok));
             }
         }
@@ -68,12 +68,12 @@
     Ok(plans)
 }
 
-/// The domain whose plan stands under a key, if it is a plan's.
+/// Returns the domain whose plan has this key, if the key is that of a plan.
 fn parse_domain(key: &str) -> Option<Result<id::Domain, id::IdError>> {
     key.strip_prefix(PREFIX).map(str::parse)
 }
 
-/// Reads a plan, if the item is one.
+/// Decodes a plan. Returns none if the item is something else.
 pub fn decode_plan(item: &Item) -> Result<Option<(id::Domain, Document)>, PlanError> {
     let invalid = |reason: String| PlanError { key: item.key.clone(), reason };
     let Some(domain) = parse_domain(&item.key) else { return Ok(None) };
@@ -84,7 +84,7 @@
     Ok(Some((domain, document)))
 }
 
-/// The key and the value under which a plan is written.
+/// Returns the key and the value of a plan in the store.
 pub(crate) fn encode_plan(domain: &id::Domain, document: &Document) -> Result<(String, Vec<u8>), PlanError> {
     let key = format!("{PREFIX}{domain}");
     match rmp_serde::to_vec(document) {
--- a/crates/node/src/prober.rs
+++ b/crates/node/src/prober.rs
@@ -1,4 +1,4 @@
-//! Asking the members of groups how they are, for the node that decides.
+//! Runs health checks against the members of groups, at the decider.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -14,16 +14,15 @@
 use crate::figures;
 use crate::state::Node;
 
-/// How long a question to a runner may take; the way there and back takes a few
-/// milliseconds.
+/// The timeout of a probe. The round trip takes a few milliseconds.
 const PROBE_TIMEOUT: Millis = Millis(250);
 
-/// The pause between two rounds of questions. A runner lost for good is known
-/// within one round, three times as fast as by its lapsing entry.
+/// The pause between two rounds of probes. A lost runner is detected within one round, three times as
+/// fast as by the lapse of its entry.
 const ROUND_DELAY: Millis = Millis(450);
 
-/// Asks all members of groups, in rounds, how they are. Those whose
-/// entry is gone are asked where they were last.
+/// Probes all members of groups in rounds, until the task is dropped. Members whose entry is gone are
+/// probed at their last known address.
 pub async fn run(node: Arc<Node>, client: Client, probes: Arc<Mutex<Probes>>) {
     loop {
         let mut members: HashSet<id::Runner> = {
@@ -31,7 +30,7 @@
             let groups = plans.values().flat_map(|plan| &plan.groups);
             groups.flat_map(|group| group.members.iter().cloned()).collect()
         };
-        // A slow runner is asked on, to be used again once it is not.
+        // Slow runners are probed too, so that they are used again once they have recovered.
         members.extend(probes.lock().list_slow());
         let known: Vec<Runner> = {
             let roster = node.roster.lock();
@@ -66,9 +65,9 @@
     }
 }
 
-/// Asks a member how it is, and one that is not known to be silent once more if it does
-/// not answer: a lost one is known half a second sooner than after another round. Returns
-/// its answer, and whether it is about to leave.
+/// Probes a member. If it does not answer and is not yet known to be silent, it is probed once more at
+/// once, so that a lost member is detected half a second sooner than after another round. Returns its
+/// answer, and whether it is about to leave.
 async fn probe_member(client: Client, runner: Runner, silent: bool) -> (Answer, bool) {
     let mut attempts = 1;
     let mut probed = order::probe(&client, runner.address, &runner.id, PROBE_TIMEOUT).await;
--- a/crates/node/src/sync.rs
+++ b/crates/node/src/sync.rs
@@ -1,5 +1,7 @@
-//! Keeping the node's beliefs in step with the platform's store, which is read
-//! here or asked for at another node: the deciding one, or a reader of the hall.
+//! Keeps the node's copy of the platform's store up to date.
+//!
+//! The node reads the store itself, or polls another node for changes: the decider, or a reader of
+//! its hall.
 
 use std::sync::Arc;
 
@@ -20,49 +22,51 @@
 use crate::registration;
 use crate::state::Node;
 
-/// How long one watch waits. An answer without changes proves that the keys
-/// held here are not old. A watch on a connection gone silent is noticed after
-/// this and the slack, which together stay well under the two seconds in which a
-/// configuration has to be in force, also at nodes that ask this one.
+/// How long one watch of the store waits for a change. An answer without changes proves that the
+/// node's copy is current. A watch on a dead connection is noticed after this time and the store client's
+/// slack. Together they stay well below the two seconds in which a configuration has to be in force,
+/// also at nodes that poll this one.
 const WATCH_TIMEOUT: Millis = Millis(700);
 
-/// How long another node is asked to wait: longer than a watch, for it answers when its
-/// own is over.
+/// How long a change poll asks the other node to wait. This is longer than a watch, because the other
+/// node answers when its own watch ends.
 const QUERY_WAIT: Millis = Millis(1000);
 
-/// A question that fails within this was refused or broken at once: to ask again costs
+/// A query that fails within this time was refused or disconnected immediately, so that a retry costs
 /// nothing.
 const FAST_FAILURE: Millis = Millis(100);
 
-/// A question gets this much time also where the store has to be called next: nodes of
-/// another hall answer within some 10 ms.
+/// The minimum timeout of a query, even if the store is due to be called. Nodes of another hall answer
+/// within about 10 ms.
 const MIN_QUERY_TIMEOUT: Millis = Millis(100);
 
-/// The pause after a batch of changes, so that the next watch brings several at
-/// once: each costs a call, and the strictest bound is two seconds.
+/// The pause after a batch of changes, so that the next watch returns several changes at once. Each
+/// watch costs a call, and the strictest bound on staleness is two seconds.
 const BATCH_DELAY: Millis = Millis(150);
 
-/// The same at the node that decides: groups stand still until it knows.
+/// The same pause at the decider. It is shorter because groups are stalled until the decider knows of a
+/// change.
 const DECIDER_BATCH_DELAY: Millis = Millis(50);
 
-/// When the whole system starts for the first time, a node waits for this long, and up
-/// to half as long again, until the others have written their entries: they take some
-/// 0.2 s. Callers come seconds later.
+/// How long a node waits when the whole system starts for the first time, plus up to half of that as
+/// jitter. The other nodes need about 0.2 s to write their entries, and callers connect seconds later.
 const FIRST_START_DELAY: Millis = Millis(400);
 
-/// A node that starts looks this often for a reader that knows what the store holds, with this
-/// pause, twice as long each time: readers start at the same time and need a few calls to the
-/// store, which take the longer the more it holds.
+/// How often a starting node looks for a reader that has a copy of the store. Readers start at the same
+/// time and need a few calls to the store, which take longer the more the store holds.
 const START_ATTEMPTS: u32 = 5;
+
+/// The pause after the first of these attempts. It doubles each time.
 const START_RETRY_DELAY: Millis = Millis(40);
 
-/// Of so many readers each time. One that is dead costs 0.4 s.
+/// How many readers each attempt queries. A dead reader costs 0.4 s.
 const READERS_PER_ATTEMPT: usize = 2;
 
-/// How often runners are looked through whose entry lapsed with the store away.
+/// How often the node checks for runners whose entries lapsed while the store was unreachable and whose
+/// grace period is over.
 const EXPIRY_INTERVAL: Millis = Millis(250);
 
-/// Why no update was obtained.
+/// Why a source returned no usable update.
 #[derive(Debug, Error)]
 enum SyncError {
     #[error(transparent)]
@@ -71,16 +75,16 @@
     Query(#[from] AskError),
     #[error("node: {0}")]
     Unpack(#[from] UnpackError),
-    #[error("node: it may have missed changes of the store for {0}")]
+    #[error("node: it may have missed changes of the store for the last {0}")]
     Stale(Millis),
-    #[error("node: no answer within {0}, after which the store is called")]
+    #[error("node: no answer within {0}; the store is called next")]
     Timeout(Millis),
-    #[error("node: it is at {remote}, this one at {local}")]
+    #[error("node: its store position {remote} is older than {local} here")]
     Behind { remote: Position, local: Position },
 }
 
 impl SyncError {
-    /// What it says of the node that was asked.
+    /// Returns how the queried node failed, for the choice of the next source.
     fn failure(&self, took: Millis) -> Failure {
         match self {
             SyncError::Query(AskError::Call(CallError::Status { .. }))
@@ -95,7 +99,7 @@
         }
     }
 
-    /// What the metrics say of it.
+    /// Returns the metric label of this error.
     fn reason(&self) -> &'static str {
         match self {
             SyncError::Query(AskError::Call(CallError::Status { .. })) => "unsure",
@@ -112,19 +116,19 @@
     }
 }
 
-/// Where this node learns.
+/// Follows the store for this node.
 struct Syncer {
     node: Arc<Node>,
     client: Client,
     position: Option<Position>,
-    /// Whether the store has forgotten the changes after that: if it is called, all is read. Other
-    /// nodes may still tell what changed.
+    /// Whether the store has compacted the changes after `position`. A call to the store then reads
+    /// everything, but other nodes may still have these changes.
     history_compacted: bool,
-    /// The latest position that was known here. What another node tells may not be older,
-    /// also where all is read anew.
+    /// The latest position that was known here. An answer of another node must not be older, even if
+    /// everything is read again.
     newest_position: Position,
     sources: Sources,
-    /// Whether the store was reached last, here or by the node asked.
+    /// Whether the last attempt reached the store, directly or through another node.
     store_reached: bool,
 }
 
@@ -148,8 +152,8 @@
 }
 
 impl Syncer {
-    /// Learns all from a reader of the hall, if there is one that knows: whole reads of
-    /// the store by each node that starts are most of the calls of a calm day.
+    /// Copies the store from a reader of the hall, if one has a copy. If every starting node read the
+    /// whole store instead, these reads would be most of the store calls of a calm day.
     async fn bootstrap(&mut self) {
         let settings = self.node.settings();
         if settings.first_start {
@@ -167,20 +171,20 @@
         }
     }
 
-    /// Reads which nodes there are in this hall. Returns whether that succeeded.
+    /// Reads the entries of this hall's nodes from the store. Returns whether that succeeded.
     async fn read_peers(&self, settings: &Settings) -> bool {
         match self.node.store.read_own_stale(&registration::format_prefix(&settings.hall)).await {
             Ok(items) => registration::apply_entries(&self.node, &items),
             Err(error) => {
-                log::info!("sync: other nodes are not known: {error}");
+                log::info!("sync: the entries of other nodes cannot be read: {error}");
                 return false;
             }
         }
         true
     }
 
-    /// Asks the readers of the hall for all that the store holds. Returns whether one of them may
-    /// know it soon, and none has returned it.
+    /// Queries readers of the hall for everything that the store holds. Returns true if none of them
+    /// had it, but one may have it soon.
     async fn query_start_readers(&mut self, settings: &Settings) -> bool {
         let mut may_know_soon = false;
         for reader in self.list_start_readers(settings) {
@@ -192,7 +196,7 @@
                     return false;
                 }
                 Err(error) => {
-                    log::info!("sync: {} does not say what the store holds: {error}", reader.node);
+                    log::info!("sync: {} returned no copy of the store: {error}", reader.node);
                     let took = self.node.now().since(asked);
                     may_know_soon |= error.failure(took) == Failure::Stale;
                 }
@@ -201,13 +205,14 @@
         may_know_soon
     }
 
-    /// The readers that a node asks when it starts.
+    /// Lists the readers that a starting node queries.
     fn list_start_readers(&self, settings: &Settings) -> Vec<Peer> {
         let directory = self.node.directory.lock();
         let readers = directory.list_local_readers(&settings.node, &settings.hall);
         readers.into_iter().take(READERS_PER_ATTEMPT).cloned().collect()
     }
 
+    /// Obtains one update from the current source and applies it, or records why there was none.
     async fn sync_once(&mut self) {
         let source = self.pick_source();
         let began = self.node.now();
@@ -235,18 +240,18 @@
             }
             (Err(SyncError::Store(StoreError::Forgotten)), _) => self.record_compaction(now),
             (Err(SyncError::Store(error @ StoreError::CameBack(_))), _) => {
-                log::warn!("sync: {error}; reading all anew, at {} now", self.format_position());
+                log::warn!("sync: {error}; reading the whole store again, now at {}", self.format_position());
                 self.position = None;
             }
             (Err(error), Source::Reader(peer) | Source::Upstream(peer)) => {
                 figures::count_source_failure("node", error.reason());
-                log::info!("sync: {} is passed over: {error}", peer.node);
+                log::info!("sync: {} gave no update, trying another source: {error}", peer.node);
                 self.sources.record_failure(peer.node, error.failure(now.since(began)), now);
             }
             (Err(error), Source::Store | Source::Wait(_)) => {
                 figures::count_source_failure("store", error.reason());
                 if self.store_reached {
-                    log::warn!("sync: {error}; going on with what is known at {}", self.format_position());
+                    log::warn!("sync: {error}; continuing with the copy at {}", self.format_position());
                 }
                 self.record_unreachable();
                 let settings = self.node.settings();
@@ -269,10 +274,11 @@
         self.position.map_or("-".to_owned(), |position| position.to_string())
     }
 
-    /// The store has forgotten what this node lacks. What is known here stays the base of what
-    /// other nodes are asked for: were all read anew everywhere, nothing else would get through.
+    /// Records that the store has compacted changes that this node lacks. The node still polls other
+    /// nodes from its own position. If all nodes read the whole store again at once, no other calls would
+    /// get through.
     fn record_compaction(&mut self, now: Millis) {
-        log::warn!("sync: the store has forgotten the changes after {}", self.format_position());
+        log::warn!("sync: the store has compacted the changes after {}", self.format_position());
         self.history_compacted = true;
         let settings = self.node.settings();
         let directory = self.node.directory.lock();
@@ -280,15 +286,15 @@
         self.sources.record_compaction(&settings.node, &settings.hall, deciding, &directory, now, rng);
     }
 
-    /// Nobody says what the store holds: runners' entries may lapse meanwhile, and those
-    /// that ask here are sent away.
+    /// Records that no source can be reached. Runners' entries may lapse meanwhile, and this node stops
+    /// answering change polls of other nodes.
     fn record_unreachable(&mut self) {
         self.store_reached = false;
         self.node.feed.set_serving(false);
     }
 
-    /// Where to learn from. The deciding node and one that knows nothing ask the store, and
-    /// others only where it turns them away.
+    /// Picks the next source. The decider and a node without a copy read the store, and use other nodes
+    /// only if the store rejects them.
     fn pick_source(&mut self) -> Source {
         let settings = self.node.settings();
         let directory = self.node.directory.lock();
@@ -313,7 +319,7 @@
         Ok(Update { batch, whole: false, proof: Proof::Watch(asked, waited), last_contact })
     }
 
-    /// Asks another node, for no longer than until the store has to be called.
+    /// Polls another node, at most until the store has to be called.
     async fn query_within_timeout(&self, peer: &Peer, reader: bool) -> Result<Update, SyncError> {
         let Some(timeout) = self.sources.query_timeout(reader, self.node.now()) else {
             return self.query(peer, QUERY_WAIT).await;
@@ -336,15 +342,17 @@
             return Err(SyncError::Behind { remote: reply.position, local: self.newest_position });
         }
         let batch = Batch { items: feed::unpack(&reply.items)?, position: reply.position };
-        // The answer was given after it was asked for and had waited.
+        // The other node answered no earlier than the query was sent, plus the time that it held the
+        // answer back.
         let answered = asked + Millis(reply.waited_ms);
         let proof = Proof::Read(answered - Millis(reply.age_ms));
         Ok(Update { batch, whole: reply.whole, proof, last_contact: answered - staleness })
     }
 
+    /// Applies an update. `serving` says whether this node answers change polls from now on.
     async fn advance(&mut self, update: Update, serving: bool) {
         if !self.store_reached {
-            log::info!("sync: the store is reached again, at {}", update.batch.position);
+            log::info!("sync: the store is reachable again, at {}", update.batch.position);
             self.node.roster.lock().start_grace_period(self.node.now());
         }
         self.store_reached = true;
@@ -363,13 +371,13 @@
     }
 }
 
-/// Takes runners as gone whose time to come back is over, until the process ends.
+/// Removes runners whose grace period is over, until the process ends.
 pub async fn run_expiry(node: Arc<Node>) {
     loop {
         tokio::time::sleep(EXPIRY_INTERVAL.duration()).await;
         let gone = node.roster.lock().expire(node.now());
         for id in &gone {
-            log::info!("roster: {id} did not come back with the store and is taken as gone");
+            log::info!("roster: {id} did not write its entry again after the store came back; removed");
             node.ledger.lock().forget(id);
         }
         if !gone.is_empty() {
