--- a/crates/node/src/apply.rs
+++ b/crates/node/src/apply.rs
@@ -1,4 +1,4 @@
-//! Taking in what the store holds, from the store or from another node.
+//! Applies updates of the store to the node's state, whether they come from the store or another node.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -18,28 +18,28 @@
 use crate::retries;
 use crate::state::Node;
 
-/// Changes of the store, or all of it.
+/// Changes of the store, or its whole content.
 pub struct Update {
-    /// The items, up to its revision.
+    /// The items, and the store position up to which they are complete.
     pub batch: Batch,
-    /// Whether items that are not in the batch are gone.
+    /// Whether the batch holds everything, so that items that are not in it are gone.
     pub whole: bool,
-    /// When the store surely held nothing newer.
+    /// The proof of freshness: when the store is known to have held nothing newer.
     pub proof: Proof,
-    /// Up to when all that the store held is known, unless a watch was deaf.
+    /// The time up to which all changes of the store are known, unless a watch failed silently.
     pub last_contact: Millis,
 }
 
-/// What an answer proves of the store's age.
+/// What an answer proves about the freshness of the node's copy.
 pub enum Proof {
-    /// The answer was asked for at that time.
+    /// The answer holds everything that the store held at this time.
     Read(Millis),
-    /// A watch was begun at that time and waited so long.
+    /// A watch began at this time and waited for this long.
     Watch(Millis, Millis),
 }
 
-/// Applies an update, and keeps it for nodes that ask this one. `before` is the latest
-/// position that was known; none at the start.
+/// Applies an update, and adds it to the feed for nodes that poll this one. `before` is the latest
+/// store position known before, none at the start.
 pub fn apply_update(node: &Node, mut update: Update, before: Option<Position>) {
     let former = before.filter(|before| before.era() < update.batch.position.era());
     if let Some(before) = former {
@@ -67,7 +67,8 @@
     }
 }
 
-/// Takes all in that the store holds. `restored` says that it came back from an older copy.
+/// Applies the whole content of the store. `restored` says that the store was restored from an older
+/// copy. Returns false if the configuration held here is older than the store's.
 fn apply_all(node: &Node, batch: Batch, restored: bool) -> bool {
     let mut runners = Vec::new();
     let mut decider = None;
@@ -88,7 +89,7 @@
         }
     }
     log::info!("store: read whole at revision {position}, {} runners", runners.len());
-    // What a copy lacks was not removed by operators.
+    // An entry that is missing in an older copy was not removed by an operator.
     if !restored {
         record::retain(node, &suspects);
         node.directory.lock().retain(|name| nodes.contains(name));
@@ -113,8 +114,7 @@
     caught_up
 }
 
-/// Takes a change in. Returns false if the configuration held here is older
-/// than the one in the store now.
+/// Applies a change. Returns false if the configuration held here is older than the store's.
 fn apply_change(node: &Node, change: Result<Change, ItemError>) -> bool {
     match change {
         Ok(Change::Catalog(catalog)) => apply_catalog(node, catalog),
@@ -131,7 +131,9 @@
         }
         Ok(Change::Own(item)) => apply_own_item(node, &item),
         Ok(Change::OwnGone(key)) => apply_own_removal(node, &key),
-        Ok(Change::Foreign(key)) => node.note_unreadable(&key, ItemKind::Foreign, "key", "nothing of ours"),
+        Ok(Change::Foreign(key)) => {
+            node.note_unreadable(&key, ItemKind::Foreign, "key", "the key is not one of this system")
+        }
         Err(error @ ItemError::Catalog(_)) => {
             node.note_unreadable("catalog", ItemKind::Catalog, "form", error);
             return false;
@@ -176,8 +178,8 @@
             drop(plans);
             node.plans_changed.send_modify(|version| *version += 1);
         }
-        Ok(None) => node.note_unreadable(&item.key, ItemKind::Foreign, "key", "of no kind that is known"),
-        // The groups that were known go on; the deciding node leaves the domain alone.
+        Ok(None) => node.note_unreadable(&item.key, ItemKind::Foreign, "key", "the key is of no known kind"),
+        // The known groups keep serving, and the decider does not plan the domain.
         Err(error) => node.note_unreadable(&item.key, ItemKind::Plan, "form", error),
     }
 }
@@ -201,7 +203,7 @@
     let held_version = held.as_ref().map(|catalog| catalog.version);
     if held_version.is_some_and(|held| catalog.version < held) {
         log::error!(
-            "catalog: the store has version {}, older than {held_version:?} here; keeping it",
+            "catalog: the store has version {}, older than {held_version:?} here; keeping the newer one",
             catalog.version
         );
         return;
--- a/crates/node/src/era.rs
+++ b/crates/node/src/era.rs
@@ -1,10 +1,10 @@
-//! What a node carries over when the store comes back from an older copy.
+//! Carries data over into a new store era, which begins when the store is restored from an older copy.
 //!
-//! Operators and runners write again what was theirs. What the nodes themselves had written since
-//! the copy is known to them alone: plans are put back by the next deciding node, which finds
-//! them among what this one passes on, under the position that they had; requests that end
-//! runners are written again by those that know of them. Until an operator has written again,
-//! the configuration that was in force stays so, here and at nodes that learn from this one.
+//! Operators and runners write their own items again. What the nodes have written since the copy was
+//! made is known only to the nodes. The next decider writes the plans again; it finds them in this
+//! node's feed, with the store positions that they had. Requests that crash runners are written again by
+//! the nodes that know of them. The configuration that was in force stays in force until an operator
+//! writes it again, at this node and at nodes that poll it.
 
 use cottoncrank::id;
 use cottoncrank_fleet::plan::Document;
@@ -16,8 +16,8 @@
 use crate::plans::decode_plan;
 use crate::state::Node;
 
-/// What a value that nodes or operators keep in force says of its age: the greater, the later.
-/// None for all other items, which their writers write again.
+/// Returns the version of a configuration or a plan; a greater version is newer. Returns none for all
+/// other items, which their writers write again.
 fn read_version(raw: &Raw) -> Option<u64> {
     match decode(raw.clone()) {
         Ok(Change::Catalog(catalog)) => Some(catalog.version),
@@ -26,8 +26,8 @@
     }
 }
 
-/// Takes in that the store has come back from an older copy, which `batch` is all of. What was
-/// in force here and is later than that takes its place.
+/// Applies the restore of the store from an older copy, of which `batch` is the whole content.
+/// Configurations and plans held here that are newer replace those in the batch.
 pub(crate) fn apply_restore(node: &Node, former_position: Position, batch: &mut Batch) {
     log::warn!(
         "sync: the store came back from an older copy: at {}, after {former_position}",
@@ -35,7 +35,7 @@
     );
     figures::count_era();
     node.store.raise_era(batch.position.era());
-    // Runners write their entries again within seconds; none is given up for that.
+    // Runners write their entries again within seconds. The grace period keeps them until then.
     node.roster.lock().start_grace_period(node.now());
     node.suspects.lock().forget_stored();
     let held = node.feed.list(|raw| read_version(raw).is_some());
@@ -44,7 +44,7 @@
     }
 }
 
-/// Puts an item that is held here into a batch that has an earlier one, or none.
+/// Puts an item that is held here into the batch, if the batch has an older version of it or none.
 fn carry_over(batch: &mut Batch, held: Raw) {
     let index = batch.items.iter().position(|raw| raw.key == held.key);
     let stored_version = index.and_then(|index| read_version(&batch.items[index]));
@@ -52,7 +52,7 @@
         return;
     }
     let kind = if is_catalog(&held) { "catalog" } else { "plan" };
-    log::info!("sync: `{}` of {} is kept, the store has an older one", held.key, held.position);
+    log::info!("sync: `{}` of {} is kept, the store has an older version or none", held.key, held.position);
     figures::count_carried(kind);
     match index {
         Some(index) => batch.items[index] = held,
@@ -60,7 +60,7 @@
     }
 }
 
-/// The plans that this node has carried over from before an era, and the store may lack.
+/// Lists the plans that this node has carried over from before `era`, which the store may lack.
 pub(crate) fn list_carried_plans(node: &Node, era: Era) -> Vec<(id::Domain, Document)> {
     let former = node.feed.list(|raw| raw.position.era() < era);
     let plans = former.into_iter().filter_map(|raw| match decode(raw) {
--- a/crates/node/src/feed.rs
+++ b/crates/node/src/feed.rs
@@ -1,8 +1,9 @@
-//! What the store holds, kept for other nodes that ask here instead.
+//! A copy of the store that serves the change polls of other nodes, so that they need not read the store.
 //!
-//! Each key is kept with the position of its last change, also when it is gone. So whoever is
-//! behind gets what has changed since, each key once, however long it was away and whether or not
-//! the store still knows its own history. All of it goes only to nodes that know nothing yet.
+//! Each key is kept with the store position of its last change, and a removed key as a tombstone. A node
+//! that is behind gets every key that has changed since, each once, no matter how long it was away and
+//! whether the store still has its own history. The whole content is sent only to nodes without a
+//! usable position.
 
 use std::collections::{BTreeSet, HashMap, VecDeque};
 use std::sync::Arc;
@@ -14,32 +15,35 @@
 use parking_lot::Mutex;
 use tokio::sync::watch;
 
-/// So many keys that are gone are remembered in any case; where more items are held, as many as
-/// there are items.
+/// The number of tombstones that are always kept. If more items than this are held, as many tombstones
+/// are kept as there are items.
 const MIN_TOMBSTONES: usize = 1000;
 
-/// So many gaps are remembered. One comes about when the store has forgotten its history.
+/// The maximum number of gaps kept. A gap arises when the store has compacted changes that this node
+/// lacks.
 const MAX_GAPS: usize = 64;
 
-/// A key and where its last change stands.
+/// The store position of a key's last change, and the key.
 type KeyChange = (Position, Arc<str>);
 
+/// The items and tombstones, indexed by key and by store position.
 #[derive(Default)]
 struct History {
-    /// The last change of each key. One without a value is gone.
+    /// The last change of each key. A removed key has no value.
     items: HashMap<Arc<str>, Raw>,
-    /// All keys, by their last change.
+    /// All keys, in the order of their last changes.
     changes_by_position: BTreeSet<KeyChange>,
-    /// The keys that are gone.
+    /// The removed keys, in the order of their removal.
     tombstones: BTreeSet<KeyChange>,
-    /// Every change after this position can be told, but for those after a position in a gap.
+    /// The position after which every change is known, except for nodes whose position is in a gap.
     complete_since: Position,
-    /// Between which positions nothing was known here when all was read anew: keys that came and
-    /// went there were never seen.
+    /// The begin and end of each range of positions that this node skipped by reading the whole store
+    /// again. Keys that were created and removed within the range were never seen here.
     gaps: VecDeque<(Position, Position)>,
 }
 
 impl History {
+    /// Records the latest change of a key.
     fn insert(&mut self, raw: Raw) {
         let key: Arc<str> = raw.key.as_str().into();
         if let Some(before) = self.items.get(&key) {
@@ -55,7 +59,8 @@
         self.items.insert(key, raw);
     }
 
-    /// Takes in all that there is at `position`. What is held here and not there is gone.
+    /// Replaces the content with all items of the store at `position`. Items held here that are not among
+    /// them become tombstones. The changes between `known` and `position` are recorded as a gap.
     fn replace(&mut self, items: &[Raw], known: Position, position: Position) {
         self.gaps.push_back((known, position));
         let keys: BTreeSet<&str> = items.iter().map(|raw| raw.key.as_str()).collect();
@@ -66,7 +71,7 @@
         }
     }
 
-    /// Forgets the keys that have been gone for longest.
+    /// Evicts the oldest tombstones and gaps beyond their limits.
     fn evict(&mut self) {
         let live = self.items.len() - self.tombstones.len();
         while self.tombstones.len() > live.max(MIN_TOMBSTONES) {
@@ -81,14 +86,14 @@
         }
     }
 
-    /// `after`, if every change after it can be told.
+    /// Returns `after` if every change after it is known, else none.
     fn resolve_start(&self, after: Option<Position>) -> Option<Position> {
         let in_gap = |after: &Position| self.gaps.iter().any(|(begin, end)| begin < after && after < end);
         after.filter(|after| *after >= self.complete_since && !in_gap(after))
     }
 
-    /// What has changed after a position, in order. The range begins with the changes at that
-    /// position itself, for no key comes before the empty one.
+    /// Lists the changes after a position, in order. The range starts with the changes at that position
+    /// itself, because no key sorts before the empty one; these are filtered out.
     fn list_after(&self, after: Position) -> Vec<Raw> {
         let changed = self
             .changes_by_position
@@ -102,42 +107,42 @@
     }
 }
 
-/// An answer as it was packed for the last node that asked.
+/// The packed answer to the last poll.
 struct CachedChanges {
     after: Option<Position>,
     changes: PackedChanges,
 }
 
-/// The items of the store, and the latest change of each.
+/// The change feed: the items of the store with the latest change of each.
 pub struct Feed {
     history: Mutex<History>,
-    /// Nodes that are equally far ask for the same.
+    /// The last packed answer. Nodes at the same position poll for the same changes.
     cached: Mutex<Option<CachedChanges>>,
     position: watch::Sender<Option<Position>>,
-    /// Whether this node answers others: it reads the store, or asks the deciding
-    /// node for its hall, and had an answer last.
+    /// Whether this node answers change polls: it reads the store, or polls the decider for its hall, and
+    /// its last attempt succeeded.
     serving: watch::Sender<bool>,
 }
 
-/// What is new after a position.
+/// The changes after a position.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Changes {
-    /// The items; all there are if `whole`.
+    /// The changed items, or all items if `whole` is set.
     pub items: Vec<Raw>,
-    /// Up to here.
+    /// The store position up to which the changes are complete.
     pub position: Position,
-    /// Whether items that are not among these are gone.
+    /// Whether these are all items of the store, so that any other item is gone.
     pub whole: bool,
 }
 
-/// The same, packed for the way between nodes.
+/// The changes after a position, packed for sending to another node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PackedChanges {
-    /// The items.
+    /// The packed items.
     pub items: Bytes,
-    /// Up to here.
+    /// The store position up to which the changes are complete.
     pub position: Position,
-    /// Whether items that are not among these are gone.
+    /// Whether these are all items of the store, so that any other item is gone.
     pub whole: bool,
 }
 
@@ -153,8 +158,9 @@
 }
 
 impl Feed {
-    /// Takes in all that the store holds. In the era that was known, what nodes may be told of is
-    /// not forgotten for that; in another one the positions held here say nothing.
+    /// Replaces the content with everything that the store holds. Within the same store era the history is
+    /// kept, so that other nodes still get only the changes. In a new era the positions held here are
+    /// meaningless, and the history starts again.
     pub fn replace(&self, batch: &Batch) {
         let mut history = self.history.lock();
         let known = (*self.position.borrow()).filter(|known| known.era() == batch.position.era());
@@ -176,28 +182,27 @@
         self.position.send_replace(Some(batch.position));
     }
 
-    /// Says whether this node answers others. Nodes that ask it are sent away as
-    /// soon as it does not.
+    /// Sets whether this node answers change polls. When it stops, pending polls are rejected at once.
     pub fn set_serving(&self, serving: bool) {
         self.serving.send_if_modified(|current| std::mem::replace(current, serving) != serving);
     }
 
-    /// Whether this node answers others, and a way to wait for a change.
+    /// Returns a receiver for whether this node answers change polls.
     pub fn subscribe_serving(&self) -> watch::Receiver<bool> {
         self.serving.subscribe()
     }
 
-    /// The position held, and a way to wait for the next.
+    /// Returns a receiver for the store position of the content.
     pub fn subscribe(&self) -> watch::Receiver<Option<Position>> {
         self.position.subscribe()
     }
 
-    /// The items that `filter` picks.
+    /// Lists the items for which `filter` returns true.
     pub fn list(&self, filter: impl Fn(&Raw) -> bool) -> Vec<Raw> {
         self.history.lock().list_live().filter(|raw| filter(raw)).cloned().collect()
     }
 
-    /// What is new after `after`; everything if that is not known any more.
+    /// Returns the changes after `after`, or all items if some of these changes are not known.
     pub fn read(&self, after: Option<Position>) -> Option<Changes> {
         let history = self.history.lock();
         let position = (*self.position.borrow())?;
@@ -208,8 +213,8 @@
         Some(changes)
     }
 
-    /// The same, packed. After a change, and when all start, many nodes ask for the same: it is
-    /// packed once for them.
+    /// Returns the same as [`Feed::read`], packed. After a change, and when all nodes start, many nodes
+    /// poll for the same changes, which are packed once for all of them.
     pub fn read_packed(&self, after: Option<Position>) -> Result<Option<PackedChanges>, PackError> {
         let (after, position) = (self.history.lock().resolve_start(after), *self.position.borrow());
         let mut last = self.cached.lock();
@@ -225,26 +230,26 @@
     }
 }
 
-/// Items that cannot be packed.
+/// The error for items that cannot be packed.
 pub type PackError = rmp_serde::encode::Error;
 
-/// Packs items for the way between nodes.
+/// Packs items for sending to another node.
 pub fn pack(items: &[Raw]) -> Result<Bytes, PackError> {
     Ok(lz4_flex::compress_prepend_size(&rmp_serde::to_vec(items)?).into())
 }
 
-/// Unpacks items.
+/// Unpacks items from another node.
 pub fn unpack(packed: &[u8]) -> Result<Vec<Raw>, UnpackError> {
     Ok(rmp_serde::from_slice(&lz4_flex::decompress_size_prepended(packed)?)?)
 }
 
-/// Items that cannot be unpacked.
+/// The error for items that cannot be unpacked.
 #[derive(Debug, thiserror::Error)]
 pub enum UnpackError {
-    /// They are not compressed as they should be.
+    /// The items cannot be decompressed.
     #[error("items from a node cannot be decompressed: {0}")]
     Decompress(#[from] lz4_flex::block::DecompressError),
-    /// They are not encoded as they should be.
+    /// The items cannot be decoded.
     #[error("items from a node cannot be decoded: {0}")]
     Decode(#[from] rmp_serde::decode::Error),
 }
--- a/crates/node/src/feedback.rs
+++ b/crates/node/src/feedback.rs
@@ -1,5 +1,5 @@
-//! Telling other nodes what runners said of themselves, along with what nodes tell each other of
-//! requests in flight: a runner answers one node, and what it says concerns all.
+//! Sends the feedback of runners to other nodes, as part of the in-flight reports. A runner reports about
+//! itself to the node that it answers, but its feedback concerns all nodes.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,7 +11,7 @@
 use crate::state::Node;
 use crate::throttle;
 
-/// What this node tells a collector, as one node or for its hall.
+/// Builds the digest that this node sends a collector, for itself or for its hall.
 pub(crate) fn build_digest(node: &Node, scope: Scope) -> News {
     let now = node.now();
     let mut rejecting = list_rejecting(node);
@@ -25,8 +25,8 @@
     }
 }
 
-/// What this node, as a collector, tells who reports to it. A collector of another hall is told in
-/// a report of this one.
+/// Builds the digest that this node, as a collector, returns to the sender of a report. It is empty for
+/// the collector of another hall, which gets the digest in this node's own report.
 pub(crate) fn build_reply_digest(node: &Node, scope: Scope) -> News {
     match scope {
         Scope::Node => News {
@@ -38,7 +38,8 @@
     }
 }
 
-/// Takes in what another node tells: a node of this hall, or one that speaks for others.
+/// Applies a digest of another node. `scope` says whether it is from a node of this hall itself or from
+/// a collector that passes on the feedback of others.
 pub(crate) fn apply_digest(node: &Node, digest: &News, scope: Scope) {
     throttle::take_claims(node, &digest.claims);
     for Leaving { runner, life } in &digest.leaving {
@@ -50,13 +51,13 @@
     }
 }
 
-/// The runners that turn requests of this node away without a word on for how long. Those that
-/// ask for a rest get it: another head would take it from their group.
+/// Lists the runners that reject requests of this node without saying for how long. Runners that ask for
+/// a backoff are left out: they get the backoff, and a new head would end it for their group.
 fn list_rejecting(node: &Node) -> BTreeSet<id::Runner> {
     node.ledger.lock().list_refusing(node.now()).cloned().collect()
 }
 
-/// The runners that have turned requests away for a while, as far as this node knows.
+/// Lists the runners that have been rejecting requests for a while, as far as this node knows.
 pub(crate) fn list_long_rejecting(node: &Node) -> BTreeSet<id::Runner> {
     let own = list_rejecting(node);
     let (mut refusals, now) = (node.refusals.lock(), node.now());
@@ -66,20 +67,20 @@
     refusals.list_lasting(now).cloned().collect()
 }
 
-/// How many runners of a hall say what, as this node knows.
+/// The back pressure from the runners of a hall, as far as this node knows.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Backpressure {
-    /// They want no requests from this node for a while.
+    /// The number of runners that want no requests from this node for a while.
     pub backing_off: usize,
-    /// They are about to leave.
+    /// The number of runners that are about to leave.
     pub leaving: usize,
-    /// They name a rate.
+    /// The number of runners that have announced a rate limit.
     pub rate_limited: usize,
-    /// What those take together.
+    /// The sum of these rate limits.
     pub allowed_rate: Rate,
 }
 
-/// What the runners of each hall say of themselves.
+/// Measures the back pressure from the runners of each hall.
 pub(crate) fn measure_backpressure(node: &Node) -> BTreeMap<id::Hall, Backpressure> {
     let (roster, said, now) = (node.roster.lock(), node.said.lock(), node.now());
     let mut halls: BTreeMap<id::Hall, Backpressure> = BTreeMap::new();
--- a/crates/node/src/invalid_items.rs
+++ b/crates/node/src/invalid_items.rs
@@ -1,35 +1,35 @@
-//! What the log tells of items that cannot be read: one line for each and each change of it,
-//! however often it changes.
+//! Limits the log lines about invalid items of the store. Each item and each change of it is logged, but
+//! an item that changes often is logged at a limited rate.
 
 use std::collections::HashMap;
 
 use cottoncrank::Millis;
 
-/// The log tells of one key this often at the most.
+/// The minimum time between two log lines about the same key.
 const LOG_INTERVAL: Millis = Millis(1000);
 
-/// So many keys are remembered; beyond that all are forgotten, and told of once more.
+/// The maximum number of keys remembered. Beyond it all are forgotten, and each may be logged once more.
 const MAX_KEYS: usize = 1000;
 
-/// What an item is, as its key says.
+/// The kind of an item, by its key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ItemKind {
     /// A runner's entry.
     Runner,
     /// The operators' configuration.
     Catalog,
-    /// A plan.
+    /// A domain plan.
     Plan,
     /// A node's entry.
     Node,
-    /// What is known of a request that ends runners.
+    /// The record of a request that crashes runners.
     Suspect,
-    /// Something that is no one's here.
+    /// An item that this system does not know.
     Foreign,
 }
 
 impl ItemKind {
-    /// The name that logs and metrics use.
+    /// Returns the name used in log lines and metrics.
     pub(crate) fn name(self) -> &'static str {
         match self {
             ItemKind::Runner => "runner",
@@ -42,12 +42,12 @@
     }
 }
 
-/// When the log last told of each key.
+/// The time of the last log line about each key.
 #[derive(Debug, Default)]
 pub(crate) struct InvalidItems(HashMap<String, Millis>);
 
 impl InvalidItems {
-    /// Whether the log tells of a key at `now`.
+    /// Whether a key may be logged at `now`. If so, the line is counted as written.
     pub(crate) fn should_log(&mut self, key: &str, now: Millis) -> bool {
         if self.0.get(key).is_some_and(|logged| now < *logged + LOG_INTERVAL) {
             return false;
--- a/crates/node/src/registration.rs
+++ b/crates/node/src/registration.rs
@@ -1,4 +1,4 @@
-//! Writing this node's entry into the store, so that other nodes find it.
+//! Registers this node in the store, so that other nodes find it.
 
 use std::sync::Arc;
 
@@ -11,24 +11,24 @@
 use crate::retries;
 use crate::state::Node;
 
-/// The prefix of the entries; the hall's name and the node's follow.
+/// The key prefix of the entries. The names of the hall and of the node follow.
 const PREFIX: &str = "node/";
 
-/// A node that starts again waits for this long at the most until it knows whether its entry
-/// still stands.
+/// How long a restarted node waits at most until it knows whether its entry still exists.
 const SYNC_TIMEOUT: Millis = Millis(1000);
 
-/// What is written to the store is known here within this, as a rule.
+/// The time within which a write to the store usually shows in this node's copy of it.
 const CONFIRM_DELAY: Millis = Millis(500);
 
-/// The pause after a failed call: at least this, at most twice.
+/// The minimum pause after a failed call. Jitter of up to the same time is added, or more in a large
+/// fleet.
 const RETRY_DELAY: Millis = Millis(1000);
 
-/// All nodes together make a failed call anew this often at the most: an entry that is
-/// written late harms nobody, and an outage strikes all nodes at once.
+/// The mean interval between the retries of all nodes together. An outage hits all nodes at once, and an
+/// entry that is written late does no harm.
 const FLEET_RETRY_INTERVAL: Millis = Millis(15);
 
-/// Writes the entry, and again when it is gone, until the process ends.
+/// Writes this node's entry, and writes it again whenever it is gone, until the process ends.
 pub async fn run(node: Arc<Node>) {
     if !node.settings().first_start {
         node.wait_synced(SYNC_TIMEOUT).await;
@@ -38,7 +38,7 @@
     let mut registered = is_registered();
     loop {
         if !registered && let Err(error) = write_entry(&node, &own).await {
-            log::info!("member: the entry of this node is not written: {error}");
+            log::info!("member: the entry of this node could not be written: {error}");
             wait_with_jitter(&node, RETRY_DELAY).await;
             continue;
         }
@@ -48,14 +48,14 @@
     }
 }
 
-/// Waits for this node's turn among all: at least for `least`.
+/// Waits for `min_delay` plus jitter that grows with the number of nodes.
 async fn wait_with_jitter(node: &Node, min_delay: Millis) {
     let spread = Millis(FLEET_RETRY_INTERVAL.0 * node.directory.lock().count() as u64).max(min_delay);
     let delay = min_delay + Millis(rand::rng().random_range(0..spread.0));
     tokio::time::sleep(delay.duration()).await;
 }
 
-/// What this node tells of itself.
+/// Builds this node's entry.
 fn build_peer(node: &Node) -> Peer {
     let settings = node.settings();
     Peer {
@@ -66,39 +66,43 @@
     }
 }
 
+/// Writes this node's entry to the store.
 async fn write_entry(node: &Node, own: &Peer) -> Result<(), StoreError> {
     let value = rmp_serde::to_vec(own).map_err(|error| StoreError::Unreadable(error.to_string()))?;
     let key = format!("{}{}", format_prefix(&own.hall), own.node);
     let commit = Commit { puts: vec![(key, value, None)], ..Commit::default() };
     match node.store.commit(&commit).await? {
         Outcome::Done(_) => Ok(()),
-        Outcome::Conflict => Err(StoreError::Unreadable("a write without a condition met one".to_owned())),
+        Outcome::Conflict => {
+            Err(StoreError::Unreadable("an unconditional write returned a conflict".to_owned()))
+        }
     }
 }
 
-/// What the keys of the entries of a hall's nodes begin with.
+/// Returns the key prefix of the entries of a hall's nodes.
 pub fn format_prefix(hall: &id::Hall) -> String {
     format!("{PREFIX}{hall}/")
 }
 
-/// Reads a node's entry, if the item is one.
+/// Decodes a node's entry. Returns none if the item is something else.
 pub fn decode_entry(item: &Item) -> Option<Result<Peer, rmp_serde::decode::Error>> {
     item.key.strip_prefix(PREFIX)?;
     Some(rmp_serde::from_slice(&item.value))
 }
 
-/// Takes the entries of other nodes in, as far as these can be read.
+/// Adds the nodes with valid entries to the directory.
 pub fn apply_entries(node: &Node, items: &[Item]) {
     for entry in items.iter().filter_map(decode_entry) {
         match entry {
             Ok(peer) => node.directory.lock().insert(peer),
-            Err(error) => log::error!("member: the entry of a node cannot be read: {error}"),
+            Err(error) => log::error!("member: the entry of a node cannot be decoded: {error}"),
         }
     }
     retries::take_share(node);
 }
 
-/// The node whose entry has this key, if it is one's. Earlier versions left the hall out.
+/// Returns the name of the node whose entry has this key, if the key is that of a node. Earlier versions
+/// wrote keys without the hall.
 pub fn parse_key(key: &str) -> Option<id::Node> {
     let path = key.strip_prefix(PREFIX)?;
     path.rsplit_once('/').map_or(path, |(_, name)| name).parse().ok()
--- a/crates/node/src/reporting.rs
+++ b/crates/node/src/reporting.rs
@@ -1,6 +1,7 @@
-//! Telling the other nodes what this one has in flight at each group, and learning
-//! what they have: a node tells the collector of its hall, collectors tell each
-//! other.
+//! Exchanges in-flight reports with other nodes.
+//!
+//! A report holds the number of requests in flight at each group. A node reports to the collector of its
+//! hall, and collectors report to each other. The replies hold the in-flight requests of other nodes.
 
 use std::sync::Arc;
 
@@ -17,25 +18,25 @@
 use crate::state::Node;
 use crate::throttle;
 
-/// The least pause between two reports of a node. Within it several requests end
-/// only at a node that has many.
+/// The minimum pause between two reports of a node. Only a node with many requests has several of them
+/// end within it.
 const MIN_REPORT_INTERVAL: Millis = Millis(50);
 
-/// The pause of a collector between what it tells those of the other halls: by then a
-/// busy group has begun some two requests.
+/// The pause of a collector between its reports to the collectors of other halls. A busy group starts
+/// about two requests within it.
 const HALL_REPORT_INTERVAL: Millis = Millis(150);
 
-/// The longest pause between two reports; three of them fit into the time for
-/// which a report counts.
+/// The maximum pause between two reports. Three of these pauses fit into the time for which a report is
+/// valid.
 const MAX_REPORT_INTERVAL: Millis = Millis(500);
 
-/// How long a collector may take to answer: much more than the way there and back.
+/// The timeout of a report. It is much longer than the round trip.
 const REPLY_TIMEOUT: Millis = Millis(150);
 
-/// A collector that does not answer is not told for this long.
+/// How long a collector that did not answer gets no reports.
 const RETRY_DELAY: Millis = Millis(2000);
 
-/// Tells and learns until the process ends.
+/// Sends reports until the process ends.
 pub async fn run(node: Arc<Node>) {
     let client = Client::new(Traffic::default());
     loop {
@@ -61,13 +62,14 @@
     }
 }
 
-/// Waits until a report is due: as a collector soon, else once a request has ended.
+/// Waits until the next report is due: at a collector after a fixed interval, at another node when a
+/// request has ended, within the minimum and maximum interval.
 async fn wait_until_due(node: &Node) {
     if node.reports.lock().count_nodes(node.now()) > 0 {
         return tokio::time::sleep(HALL_REPORT_INTERVAL.duration()).await;
     }
     tokio::time::sleep(MIN_REPORT_INTERVAL.duration()).await;
-    // Either way a report is due then.
+    // A report is due in either case, so the outcome is unused.
     let _ = tokio::time::timeout(
         (MAX_REPORT_INTERVAL - MIN_REPORT_INTERVAL).duration(),
         node.flight_ended.notified(),
@@ -75,21 +77,21 @@
     .await;
 }
 
-/// The collector of a hall.
+/// Finds the collector of a hall: the first candidate that is not on the denylist.
 pub(crate) fn find_collector(node: &Node, hall: &id::Hall, denylist: &Denylist) -> Option<Peer> {
     let directory = node.directory.lock();
     let mut ranked = directory.list_collectors(hall).into_iter();
     ranked.find(|peer| !denylist.contains(&peer.node)).cloned()
 }
 
-/// The collectors of the other halls.
+/// Lists the collectors of the other halls.
 fn list_other_collectors(node: &Node, hall: &id::Hall) -> Vec<Peer> {
     let halls: Vec<id::Hall> = node.directory.lock().list_halls().into_iter().cloned().collect();
     let other_halls = halls.iter().filter(|other| *other != hall);
     other_halls.filter_map(|other| find_collector(node, other, &node.untold.lock())).collect()
 }
 
-/// Tells the collector of this hall. Returns its name if it does not answer.
+/// Reports to the collector of this hall. Returns the collector's name as the error if it does not answer.
 async fn send_report(node: &Node, client: &Client, collector: &Peer) -> Result<(), id::Node> {
     let sent = node.now();
     let report = build_report(node, Scope::Node, node.sum_in_flight());
@@ -107,8 +109,8 @@
     }
 }
 
-/// As the collector of this hall, tells those of the others. Returns the names of
-/// those that do not answer.
+/// Reports, as the collector of this hall, to the collectors of other halls. Returns the names of those
+/// that do not answer.
 async fn send_hall_reports(node: &Arc<Node>, client: &Client, others: Vec<Peer>) -> Vec<id::Node> {
     let sent = node.now();
     node.presence.lock().start_collecting();
@@ -131,12 +133,13 @@
     outcomes.into_iter().filter_map(Result::err).collect()
 }
 
+/// Stores the in-flight requests of the other nodes, as of the time `sent` of the report.
 fn store_fleet_load(node: &Node, others: Sum, sent: Millis) {
     let known = node.directory.lock().count();
     node.view.lock().put(others, known, sent);
 }
 
-/// What this node tells a collector.
+/// Builds this node's report to a collector.
 pub fn build_report(node: &Node, scope: Scope, sum: Sum) -> Report {
     let settings = node.settings();
     let doubted = node.list_doubted();
@@ -151,8 +154,8 @@
     }
 }
 
-/// Takes a report in. Returns what its sender is not told by others: a node what
-/// all others have in flight, a collector what this hall has.
+/// Records a report and returns the reply. The reply holds what the sender gets from no other node: for
+/// a node the in-flight requests of all other nodes, for a collector those of this hall.
 pub fn receive_report(node: &Node, report: Report) -> Reply {
     let (scope, own) = (report.scope, report.sum.clone());
     record_report(node, report);
@@ -163,7 +166,7 @@
     Reply { sum, news: feedback::build_reply_digest(node, scope) }
 }
 
-/// Keeps what a report says.
+/// Records the content of a report.
 pub fn record_report(node: &Node, report: Report) {
     let now = node.now();
     feedback::apply_digest(node, &report.news, report.scope);
@@ -177,6 +180,7 @@
     node.reports.lock().put(report, now);
 }
 
+/// Sums up the in-flight requests of this hall, for a node also those of other halls.
 fn sum_others(node: &Node, own: &Sum, scope: Scope) -> Sum {
     let (reports, now) = (node.reports.lock(), node.now());
     let mut sum = reports.sum_hall(own, now);
