--- a/crates/node/src/feed.rs
+++ b/crates/node/src/feed.rs
@@ -102,6 +102,7 @@
         changed.filter_map(|(_, key)| self.items.get(key).cloned()).collect()
     }
 
+    /// Lists the items that are not tombstones.
     fn list_live(&self) -> impl Iterator<Item = &Raw> {
         self.items.values().filter(|raw| raw.value.is_some())
     }
@@ -172,7 +173,7 @@
         self.position.send_replace(Some(batch.position));
     }
 
-    /// Adds changes.
+    /// Adds changes up to the batch's position.
     pub fn extend(&self, batch: &Batch) {
         let mut history = self.history.lock();
         for raw in &batch.items {
--- a/crates/node/src/prober.rs
+++ b/crates/node/src/prober.rs
@@ -21,7 +21,7 @@
 /// fast as by the lapse of its entry.
 const ROUND_DELAY: Millis = Millis(450);
 
-/// Probes all members of groups in rounds, until the task is dropped. Members whose entry is gone are
+/// Probes all members of groups in rounds, until the task is aborted. Members whose entry is gone are
 /// probed at their last known address.
 pub async fn run(node: Arc<Node>, client: Client, probes: Arc<Mutex<Probes>>) {
     loop {
--- a/crates/node/src/reporting.rs
+++ b/crates/node/src/reporting.rs
@@ -18,8 +18,8 @@
 use crate::state::Node;
 use crate::throttle;
 
-/// The minimum pause between two reports of a node. Only a node with many requests has several of them
-/// end within it.
+/// The minimum pause between two reports of a node. Only at a node with many requests do several of
+/// them end within this time.
 const MIN_REPORT_INTERVAL: Millis = Millis(50);
 
 /// The pause of a collector between its reports to the collectors of other halls. A busy group starts
@@ -103,7 +103,10 @@
             Ok(())
         }
         Err(error) => {
-            log::info!("collect: {} is not told for {RETRY_DELAY}: {error}", collector.node);
+            log::info!(
+                "collect: {} is not told of in-flight requests for {RETRY_DELAY}: {error}",
+                collector.node
+            );
             Err(collector.node.clone())
         }
     }
@@ -123,7 +126,10 @@
         sending.spawn(async move {
             let outcome = peer::report(&node, &client, &collector, &report, REPLY_TIMEOUT).await;
             outcome.map_err(|error| {
-                log::info!("collect: {} is not told for {RETRY_DELAY}: {error}", collector.node);
+                log::info!(
+                    "collect: {} is not told of in-flight requests for {RETRY_DELAY}: {error}",
+                    collector.node
+                );
                 collector.node
             })
         });
--- a/crates/node/src/sync.rs
+++ b/crates/node/src/sync.rs
@@ -52,7 +52,7 @@
 /// jitter. The other nodes need about 0.2 s to write their entries, and callers connect seconds later.
 const FIRST_START_DELAY: Millis = Millis(400);
 
-/// How often a starting node looks for a reader that has a copy of the store. Readers start at the same
+/// How many times a starting node looks for a reader that has a copy of the store. Readers start at the same
 /// time and need a few calls to the store, which take longer the more the store holds.
 const START_ATTEMPTS: u32 = 5;
 
@@ -245,7 +245,7 @@
             }
             (Err(error), Source::Reader(peer) | Source::Upstream(peer)) => {
                 figures::count_source_failure("node", error.reason());
-                log::info!("sync: {} gave no update, trying another source: {error}", peer.node);
+                log::info!("sync: no update from {}: {error}", peer.node);
                 self.sources.record_failure(peer.node, error.failure(now.since(began)), now);
             }
             (Err(error), Source::Store | Source::Wait(_)) => {
