--- a/crates/node/src/intake.rs
+++ b/crates/node/src/apply.rs
@@ -1,4 +1,4 @@
-//! Taking in what the store holds, however it was learned.
+//! Applies updates of the store to the node's state, whether they come from the store or another node.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -11,53 +11,53 @@
 
 use crate::decider::{self, LEASE_KEY};
 use crate::era;
-use crate::member;
-use crate::plans::read_plan;
+use crate::invalid_items::ItemKind;
+use crate::plans::decode_plan;
+use crate::registration;
 use crate::retries;
 use crate::state::Node;
 use crate::suspect_store;
-use crate::unreadable::Part;
 
-/// What was learned.
-pub struct Learned {
-    /// The items, up to its revision.
+/// Changes of the store, or its whole content.
+pub struct Update {
+    /// The items, and the store position up to which they are complete.
     pub batch: Batch,
-    /// Whether items that are not in the batch are gone.
+    /// Whether the batch holds everything, so that items that are not in it are gone.
     pub whole: bool,
-    /// When the store surely held nothing newer.
-    pub proven: Proof,
-    /// Up to when all that the store held is known, unless a watch was deaf.
-    pub contact: Millis,
+    /// The proof of freshness: when the store is known to have held nothing newer.
+    pub proof: Proof,
+    /// The time up to which all changes of the store are known, unless a watch failed silently.
+    pub last_contact: Millis,
 }
 
-/// What an answer proves of the store's age.
+/// What an answer proves about the freshness of the node's copy.
 pub enum Proof {
-    /// The answer was asked for at that time.
+    /// The answer holds everything that the store held at this time.
     Read(Millis),
-    /// A watch was begun at that time and waited so long.
+    /// A watch began at this time and waited for this long.
     Watch(Millis, Millis),
 }
 
-/// Takes in what was learned, and keeps it for nodes that ask this one. `before` is the latest
-/// position that was known; none at the start.
-pub fn take_in(node: &Node, mut learned: Learned, before: Option<Position>) {
-    let former = before.filter(|before| before.era() < learned.batch.position.era());
+/// Applies an update, and adds it to the feed for nodes that poll this one. `before` is the latest
+/// store position known before, none at the start.
+pub fn apply_update(node: &Node, mut update: Update, before: Option<Position>) {
+    let former = before.filter(|before| before.era() < update.batch.position.era());
     if let Some(before) = former {
-        era::enter(node, before, &mut learned.batch);
+        era::apply_restore(node, before, &mut update.batch);
     }
-    match learned.whole {
-        true => node.feed.replace(&learned.batch),
-        false => node.feed.extend(&learned.batch),
+    match update.whole {
+        true => node.feed.replace(&update.batch),
+        false => node.feed.extend(&update.batch),
     }
-    let changes = learned.batch.items.len();
-    let caught_up = match learned.whole {
-        true => take_all(node, learned.batch, former.is_some()),
-        false => take_changes(node, learned.batch),
+    let changes = update.batch.items.len();
+    let caught_up = match update.whole {
+        true => apply_all(node, update.batch, former.is_some()),
+        false => apply_changes(node, update.batch),
     };
     if caught_up {
-        node.record_contact(learned.contact);
+        node.record_contact(update.last_contact);
         let mut freshness = node.freshness.lock();
-        match learned.proven {
+        match update.proof {
             Proof::Read(asked) => freshness.prove_read(asked),
             Proof::Watch(asked, waited) => freshness.prove_watch(asked, waited),
         }
@@ -67,8 +67,9 @@
     }
 }
 
-/// Takes all in that the store holds. `back` says that it came back from an older copy.
-fn take_all(node: &Node, batch: Batch, back: bool) -> bool {
+/// Applies the whole content of the store. `restored` says that the store was restored from an older
+/// copy. Returns false if the configuration held here is older than the store's.
+fn apply_all(node: &Node, batch: Batch, restored: bool) -> bool {
     let mut runners = Vec::new();
     let mut decider = None;
     let mut caught_up = true;
@@ -78,19 +79,19 @@
     for item in batch.items {
         match decode(item) {
             Ok(Change::Runner(runner)) => runners.push(runner),
-            Ok(Change::Own(item)) if item.key == LEASE_KEY => decider = Some(decider::read_holder(&item)),
+            Ok(Change::Own(item)) if item.key == LEASE_KEY => decider = Some(decider::decode_holder(&item)),
             Ok(Change::Own(item)) => {
                 suspects
                     .extend(suspect_store::read_entry(&item).and_then(Result::ok).map(|row| row.fingerprint));
-                nodes.extend(member::read_name(&item.key));
-                take_own(node, &item);
+                nodes.extend(registration::parse_key(&item.key));
+                apply_own_item(node, &item);
             }
-            other => caught_up &= take_change(node, other),
+            other => caught_up &= apply_change(node, other),
         }
     }
     log::info!("store: read whole at revision {position}, {} runners", runners.len());
-    // What a copy lacks was not removed by operators.
-    if !back {
+    // An entry that is missing in an older copy was not removed by an operator.
+    if !restored {
         suspect_store::retain_entries(node, &suspects);
         node.directory.lock().retain(|name| nodes.contains(name));
         retries::update_budget(node);
@@ -106,19 +107,18 @@
     caught_up
 }
 
-fn take_changes(node: &Node, batch: Batch) -> bool {
+fn apply_changes(node: &Node, batch: Batch) -> bool {
     let mut caught_up = true;
     for item in batch.items {
-        caught_up &= take_change(node, decode(item));
+        caught_up &= apply_change(node, decode(item));
     }
     caught_up
 }
 
-/// Takes a change in. Returns false if the configuration held here is older
-/// than the one in the store now.
-fn take_change(node: &Node, change: Result<Change, ItemError>) -> bool {
+/// Applies a change. Returns false if the configuration held here is older than the store's.
+fn apply_change(node: &Node, change: Result<Change, ItemError>) -> bool {
     match change {
-        Ok(Change::Catalog(catalog)) => take_catalog(node, catalog),
+        Ok(Change::Catalog(catalog)) => apply_catalog(node, catalog),
         Ok(Change::Runner(runner)) => {
             log::debug!("roster: {} is {:?} draining {}", runner.id, runner.membership, runner.draining);
             node.insert_runner(runner);
@@ -130,15 +130,17 @@
                 node.ledger.lock().forget(&id);
             }
         }
-        Ok(Change::Own(item)) => take_own(node, &item),
-        Ok(Change::OwnRemoved(key)) => take_own_gone(node, &key),
-        Ok(Change::Foreign(key)) => node.report_invalid_item(&key, Part::Foreign, "key", "nothing of ours"),
+        Ok(Change::Own(item)) => apply_own_item(node, &item),
+        Ok(Change::OwnRemoved(key)) => apply_own_removal(node, &key),
+        Ok(Change::Foreign(key)) => {
+            node.report_invalid_item(&key, ItemKind::Foreign, "key", "the key is not one of this system")
+        }
         Err(error @ ItemError::Catalog(_)) => {
-            node.report_invalid_item("catalog", Part::Catalog, "form", error);
+            node.report_invalid_item("catalog", ItemKind::Catalog, "form", error);
             return false;
         }
         Err(ItemError::Runner(name, error)) => {
-            node.report_invalid_item(&name, Part::Runner, error.reason(), &error);
+            node.report_invalid_item(&name, ItemKind::Runner, error.reason(), &error);
             if let Ok(id) = name.parse() {
                 node.discard_runner(&id);
             }
@@ -147,29 +149,29 @@
     true
 }
 
-fn take_own(node: &Node, item: &Item) {
+fn apply_own_item(node: &Node, item: &Item) {
     if item.key == LEASE_KEY {
-        node.decider.send_replace(Some(decider::read_holder(item)));
+        node.decider.send_replace(Some(decider::decode_holder(item)));
         return;
     }
-    if let Some(entry) = member::read_entry(item) {
+    if let Some(entry) = registration::decode_entry(item) {
         match entry {
             Ok(peer) => {
                 node.directory.lock().insert(peer);
                 retries::update_budget(node);
             }
-            Err(error) => node.report_invalid_item(&item.key, Part::Node, "form", error),
+            Err(error) => node.report_invalid_item(&item.key, ItemKind::Node, "form", error),
         }
         return;
     }
     if let Some(entry) = suspect_store::read_entry(item) {
         match entry {
             Ok(row) => suspect_store::apply_entry(node, &row),
-            Err(error) => node.report_invalid_item(&item.key, Part::Suspect, "form", error),
+            Err(error) => node.report_invalid_item(&item.key, ItemKind::Suspect, "form", error),
         }
         return;
     }
-    match read_plan(item) {
+    match decode_plan(item) {
         Ok(Some((domain, document))) => {
             let mut plans = node.plans.lock();
             plans.insert(domain, document);
@@ -177,16 +179,18 @@
             drop(plans);
             node.plans_changed.send_modify(|version| *version += 1);
         }
-        Ok(None) => node.report_invalid_item(&item.key, Part::Foreign, "key", "of no kind that is known"),
-        // The groups that were known go on; the deciding node leaves the domain alone.
-        Err(error) => node.report_invalid_item(&item.key, Part::Plan, "form", error),
+        Ok(None) => {
+            node.report_invalid_item(&item.key, ItemKind::Foreign, "key", "the key is of no known kind")
+        }
+        // The known groups keep serving, and the decider does not plan the domain.
+        Err(error) => node.report_invalid_item(&item.key, ItemKind::Plan, "form", error),
     }
 }
 
-fn take_own_gone(node: &Node, key: &str) {
+fn apply_own_removal(node: &Node, key: &str) {
     if key == LEASE_KEY {
         node.decider.send_replace(None);
-    } else if let Some(name) = member::read_name(key) {
+    } else if let Some(name) = registration::parse_key(key) {
         if name == node.settings().node {
             node.entry_gone.notify_one();
         }
@@ -197,17 +201,17 @@
     }
 }
 
-fn take_catalog(node: &Node, catalog: Catalog) {
+fn apply_catalog(node: &Node, catalog: Catalog) {
     let mut held = node.catalog.lock();
-    let here = held.as_ref().map(|catalog| catalog.version);
-    if here.is_some_and(|here| catalog.version < here) {
+    let held_version = held.as_ref().map(|catalog| catalog.version);
+    if held_version.is_some_and(|held| catalog.version < held) {
         log::error!(
-            "catalog: the store has version {}, older than {here:?} here; keeping it",
+            "catalog: the store has version {}, older than {held_version:?} here; keeping the newer one",
             catalog.version
         );
         return;
     }
-    if here != Some(catalog.version) {
+    if held_version != Some(catalog.version) {
         log::info!("catalog: version {} is in force, {} routes", catalog.version, catalog.count_routes());
     }
     *held = Some(Arc::new(catalog));
--- a/crates/node/src/dispatch.rs
+++ b/crates/node/src/dispatch.rs
@@ -12,8 +12,8 @@
 use cottoncrank_fleet::trials::Ruling;
 
 use crate::attempt::Job;
-use crate::collect::{self, find_collector, write_report};
 use crate::peer;
+use crate::reporting::{self, build_report, find_collector};
 use crate::retries;
 use crate::state::Node;
 use crate::throttle;
@@ -50,7 +50,7 @@
     let (_, model) = job.model_key();
     let settings = node.settings();
     let query = Query {
-        report: write_report(node, Scope::Node, node.sum_in_flight()),
+        report: build_report(node, Scope::Node, node.sum_in_flight()),
         service: job.service.clone(),
         model: model?,
         prompt: job.terms.prompt_tokens.unwrap_or(0),
@@ -79,13 +79,13 @@
 pub(crate) fn find_available_collector(node: &Node) -> Option<Peer> {
     let hall = &node.settings().hall;
     let mut avoided = node.unreachable_for_queries.lock();
-    avoided.forget(node.now());
+    avoided.evict_expired(node.now());
     find_collector(node, hall, &avoided)
 }
 
 /// Stops asking a collector for a while, because it did not answer a query.
 pub(crate) fn avoid_collector(node: &Node, collector: Peer) {
-    node.unreachable_for_queries.lock().add(collector.node, node.now() + COLLECTOR_AVOID_TIME);
+    node.unreachable_for_queries.lock().insert(collector.node, node.now() + COLLECTOR_AVOID_TIME);
 }
 
 fn list_epochs(node: &Node, runners: &[id::Runner]) -> Vec<Epoch> {
@@ -96,7 +96,7 @@
 
 /// As the collector, records the in-flight report of the asking node and chooses a group.
 pub fn answer_query(node: &Node, query: Query) -> Reply {
-    collect::note(node, query.report.clone());
+    reporting::record_report(node, query.report.clone());
     let reply = choose_group(node, &query);
     if let Reply::Take(assignment) = reply {
         node.reports.lock().begin_request(&query.report.node, assignment.epoch);
--- a/crates/node/src/peer.rs
+++ b/crates/node/src/peer.rs
@@ -23,10 +23,10 @@
 use tokio::net::{TcpListener, TcpStream};
 
 use crate::answer::{Answer, Body};
-use crate::collect;
 use crate::dispatch;
 use crate::feed::UnpackError;
 use crate::front::pause_accepting;
+use crate::reporting;
 use crate::retries;
 use crate::state::Node;
 use crate::suspects::{self, Envelope};
@@ -196,7 +196,10 @@
     if path == REPORT_PATH {
         if let Ok(Envelope { question, push }) = rmp_serde::from_slice::<Envelope<Report>>(&bytes) {
             let pull = suspects::receive_push(node, &push, question.scope);
-            return encode_answer(&suspects::EnvelopeReply { answer: collect::take(node, question), pull });
+            return encode_answer(&suspects::EnvelopeReply {
+                answer: reporting::receive_report(node, question),
+                pull,
+            });
         }
     } else if path == GROUP_PATH {
         if let Ok(Envelope { question, push }) = rmp_serde::from_slice::<Envelope<Query>>(&bytes) {
--- a/crates/node/src/state.rs
+++ b/crates/node/src/state.rs
@@ -36,14 +36,14 @@
 use rand::Rng;
 use tokio::sync::{Notify, watch};
 
-use crate::avoid::Avoided;
 use crate::crash::Findings;
+use crate::denylist::Denylist;
 use crate::feed::Feed;
 use crate::in_flight::ModelKey;
+use crate::invalid_items::{InvalidItems, ItemKind};
 use crate::retries;
 use crate::suspects;
 use crate::telemetry;
-use crate::unreadable::{Part, Unreadable};
 
 /// The decider lease, as the store last had it.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -88,7 +88,7 @@
     /// Counts the changes of plans.
     pub plans_changed: watch::Sender<u64>,
     /// Invalid items of the store that were logged lately.
-    pub(crate) invalid_items: Mutex<Unreadable>,
+    pub(crate) invalid_items: Mutex<InvalidItems>,
     /// What this node observed of each runner: requests in flight, failures, rejections.
     pub ledger: Mutex<Ledger>,
     /// What runners reported about themselves in answers.
@@ -108,9 +108,9 @@
     /// First-event delays that have not been sent to the collector yet.
     pub(crate) unsent_samples: Mutex<Vec<Sample>>,
     /// Collectors that did not answer an in-flight report. They are avoided for a while.
-    pub(crate) unreachable_for_reports: Mutex<Avoided>,
+    pub(crate) unreachable_for_reports: Mutex<Denylist>,
     /// Collectors that did not answer a query. They are avoided for a while.
-    pub(crate) unreachable_for_queries: Mutex<Avoided>,
+    pub(crate) unreachable_for_queries: Mutex<Denylist>,
     /// The evidence about requests that crash the runners that execute them.
     pub suspects: Mutex<Table>,
     /// How much of that evidence each other node already has.
@@ -312,12 +312,12 @@
     pub(crate) fn report_invalid_item(
         &self,
         key: &str,
-        part: Part,
+        part: ItemKind,
         reason: &'static str,
         detail: impl Display,
     ) {
         telemetry::count_invalid_item(part.name(), reason);
-        if self.invalid_items.lock().tells(key, self.now()) {
+        if self.invalid_items.lock().should_log(key, self.now()) {
             log::error!("store: `{key}` ({}) is not used: {detail}", part.name());
         }
     }
