--- a/crates/node/src/throttle.rs
+++ b/crates/node/src/throttle.rs
@@ -109,8 +109,8 @@
 pub(crate) fn list_rates(node: &Node, scope: Scope) -> Vec<Told> {
     let now = node.now();
     let throttles = &node.feedback.lock().throttles;
-    let rates = throttles.iter().filter(|claim| scope == Scope::Hall || now < claim.heard + RESEND_WINDOW);
-    rates.map(|claim| claim.tell(now)).collect()
+    let rates = throttles.iter().filter(|limit| scope == Scope::Hall || now < limit.heard + RESEND_WINDOW);
+    rates.map(|limit| limit.tell(now)).collect()
 }
 
 /// Lists the rate limits of runners without a domain. The nodes of this hall need them, because they
@@ -118,7 +118,7 @@
 pub(crate) fn list_plain_rates(node: &Node) -> Vec<Told> {
     let (roster, feedback, now) = (node.roster.lock(), node.feedback.lock(), node.now());
     let is_plain = |id: &id::Runner| roster.get_last_known(id).is_some_and(|runner| runner.domain.is_none());
-    feedback.throttles.iter().filter(|claim| is_plain(&claim.runner)).map(|claim| claim.tell(now)).collect()
+    feedback.throttles.iter().filter(|limit| is_plain(&limit.runner)).map(|limit| limit.tell(now)).collect()
 }
 
 /// Lists the rates that this hall wants of rate-limited runners. Empty in the report of a single node.
@@ -172,7 +172,8 @@
     LimitedGroups { exhausted, outlook: sum_outlooks(&outlooks) }
 }
 
-/// Returns after what time a caller is to retry when all groups are exhausted.
+/// Returns the time after which a caller is to retry when all groups are exhausted, or `None` if no group
+/// is rate-limited.
 pub(crate) fn plan_retry(
     node: &Node,
     question: &Question,
@@ -191,7 +192,7 @@
     let throttles = &node.feedback.lock().throttles;
     let find_limited = |epoch: Epoch| {
         let is_in_group =
-            |head: &&&Runner| head.membership.as_ref().is_some_and(|place| place.epoch == epoch);
+            |head: &&&Runner| head.membership.as_ref().is_some_and(|membership| membership.epoch == epoch);
         let head = heads.iter().find(is_in_group)?;
         throttles.find(&head.id, head.incarnation).map(|_| &head.id)
     };
@@ -200,13 +201,14 @@
         allocations.want(best, now);
     }
     if let Reply::Take(promise) = reply
-        && let Some(taken) = find_limited(promise.epoch)
+        && let Some(picked) = find_limited(promise.epoch)
     {
-        allocations.take(taken);
+        allocations.take(picked);
     }
 }
 
-/// As the collector, grants a permit for one of the runners of a query.
+/// As the collector, grants a permit for one of the runners of a query, or says when the next request may
+/// be sent or that none of them is rate-limited any more.
 pub(crate) fn grant_permit(node: &Node, query: &Query) -> Permit {
     receive_rates(node, &query.claims);
     let now = node.now();
@@ -219,9 +221,9 @@
         limited.collect()
     };
     if runners.is_empty() {
-        let (feedback, is_asked) = (node.feedback.lock(), |claim: &&Claim| query.includes(&claim.runner));
+        let (feedback, is_asked) = (node.feedback.lock(), |limit: &&Claim| query.includes(&limit.runner));
         return Permit::Free(
-            feedback.throttles.iter().filter(is_asked).map(|claim| claim.tell(now)).collect(),
+            feedback.throttles.iter().filter(is_asked).map(|limit| limit.tell(now)).collect(),
         );
     }
     let outlooks = list_outlooks(node, &runners, now);
@@ -254,8 +256,8 @@
     }
     let claims = {
         let (feedback, now) = (node.feedback.lock(), node.now());
-        let is_candidate = |claim: &&Claim| runners.iter().any(|(id, _)| *id == claim.runner);
-        feedback.throttles.iter().filter(is_candidate).map(|claim| claim.tell(now)).collect()
+        let is_candidate = |limit: &&Claim| runners.iter().any(|(id, _)| *id == limit.runner);
+        feedback.throttles.iter().filter(is_candidate).map(|limit| limit.tell(now)).collect()
     };
     let (refused, patience) = (!has_free(node, job, tried), job.patience(node.now()));
     let query = Query { service: job.service.clone(), refused, patience, claims };
@@ -264,7 +266,7 @@
         return Some(grant_permit(node, &query));
     }
     match peer::query_permit(node, &collector, &query, ANSWER).await {
-        Ok(place) => Some(place),
+        Ok(permit) => Some(permit),
         Err(error) => {
             log::info!("request {}: no permit from collector {}: {error}", job.id(), collector.node);
             avoid(node, collector);
