--- a/crates/node/src/throttle.rs
+++ b/crates/node/src/throttle.rs
@@ -119,8 +119,8 @@
 pub(crate) fn list_rates(node: &Node, scope: Scope) -> Vec<Message> {
     let now = node.now();
     let throttles = &node.feedback.lock().rate_limits;
-    let rates = throttles.iter().filter(|claim| scope == Scope::Hall || now < claim.received + RESEND_WINDOW);
-    rates.map(|claim| claim.to_message(now)).collect()
+    let rates = throttles.iter().filter(|limit| scope == Scope::Hall || now < limit.received + RESEND_WINDOW);
+    rates.map(|limit| limit.to_message(now)).collect()
 }
 
 /// Lists the rate limits of runners without a domain. The nodes of this hall need them, because they
@@ -131,8 +131,8 @@
     feedback
         .rate_limits
         .iter()
-        .filter(|claim| is_plain(&claim.runner))
-        .map(|claim| claim.to_message(now))
+        .filter(|limit| is_plain(&limit.runner))
+        .map(|limit| limit.to_message(now))
         .collect()
 }
 
@@ -188,7 +188,8 @@
     LimitedGroups { exhausted, outlook: sum_outlooks(&outlooks) }
 }
 
-/// Returns after what time a caller is to retry when all groups are exhausted.
+/// Returns the time after which a caller is to retry when all groups are exhausted, or `None` if no group
+/// is rate-limited.
 pub(crate) fn plan_retry(
     node: &Node,
     question: &dispatch::Query,
@@ -210,7 +211,7 @@
     let throttles = &node.feedback.lock().rate_limits;
     let find_limited = |epoch: Epoch| {
         let is_in_group =
-            |head: &&&Runner| head.membership.as_ref().is_some_and(|place| place.epoch == epoch);
+            |head: &&&Runner| head.membership.as_ref().is_some_and(|membership| membership.epoch == epoch);
         let head = heads.iter().find(is_in_group)?;
         throttles.find(&head.id, head.incarnation).map(|_| &head.id)
     };
@@ -219,13 +220,14 @@
         allocations.record_demand(best, now);
     }
     if let Reply::Take(promise) = reply
-        && let Some(taken) = find_limited(promise.epoch)
+        && let Some(picked) = find_limited(promise.epoch)
     {
-        allocations.spend(taken);
+        allocations.spend(picked);
     }
 }
 
-/// As the collector, grants a permit for one of the runners of a query.
+/// As the collector, grants a permit for one of the runners of a query, or says when the next request may
+/// be sent or that none of them is rate-limited any more.
 pub(crate) fn grant_permit(node: &Node, query: &Query) -> Permit {
     receive_rates(node, &query.claims);
     let now = node.now();
@@ -238,9 +240,9 @@
         limited.collect()
     };
     if runners.is_empty() {
-        let (feedback, is_asked) = (node.feedback.lock(), |claim: &&RateLimit| query.includes(&claim.runner));
+        let (feedback, is_asked) = (node.feedback.lock(), |limit: &&RateLimit| query.includes(&limit.runner));
         return Permit::Free(
-            feedback.rate_limits.iter().filter(is_asked).map(|claim| claim.to_message(now)).collect(),
+            feedback.rate_limits.iter().filter(is_asked).map(|limit| limit.to_message(now)).collect(),
         );
     }
     let outlooks = list_outlooks(node, &runners, now);
@@ -273,8 +275,8 @@
     }
     let claims = {
         let (feedback, now) = (node.feedback.lock(), node.now());
-        let is_candidate = |claim: &&RateLimit| runners.iter().any(|(id, _)| *id == claim.runner);
-        feedback.rate_limits.iter().filter(is_candidate).map(|claim| claim.to_message(now)).collect()
+        let is_candidate = |limit: &&RateLimit| runners.iter().any(|(id, _)| *id == limit.runner);
+        feedback.rate_limits.iter().filter(is_candidate).map(|limit| limit.to_message(now)).collect()
     };
     let (refused, patience) = (!has_unlimited(node, job, tried), job.remaining_time(node.now()));
     let query = Query { service: job.service.clone(), refused, patience, claims };
@@ -283,7 +285,7 @@
         return Some(grant_permit(node, &query));
     }
     match peer::query_permit(node, &collector, &query, COLLECTOR_TIMEOUT).await {
-        Ok(place) => Some(place),
+        Ok(permit) => Some(permit),
         Err(error) => {
             log::info!("request {}: no permit from collector {}: {error}", job.id(), collector.node);
             avoid_collector(node, collector);
