--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,25 +1,61 @@
-//! What a node believes of the fleet that a platform's store describes, and
-//! what it decides from that, as pure code: time and randomness are arguments.
+//! What a node knows of a platform's fleet, and what it decides from that, as pure code: time and
+//! randomness are arguments, and nothing here reads from or writes to the network.
 //!
-//! No file needs one that needs it in turn. From the bottom:
+//! The modules do not depend on each other in cycles.
 //!
-//! - What is known: [`position`] (where in the store's history), [`catalog`] (what operators want), [`runner`] and [`roster`] (the
-//!   runners and their lives), [`plan`] (which runner is meant for which group),
-//!   [`probe`], [`stall`], [`directory`], [`presence`] (which nodes are gone), [`occupancy`] (what all nodes have in flight),
-//!   [`freshness`] (how long a node may rely on what it knows).
-//! - Decisions for groups: [`snapshot`] is what the deciding node looks at, [`memory`] what it
-//!   remembers, [`order`] what a runner is told; [`loss`], [`form`], [`preempt`], [`staging`],
-//!   [`orders`] and, for how many of each, [`demand`], [`reserve`], [`loads`] answer one
-//!   question each, and [`decide`] calls them; [`adopt`] finds groups whose plan was lost. [`census`] is what the log says of it.
-//! - Choices for requests: [`dispatch`] and [`balance`] pick the runner, [`limit`] admits,
-//!   [`retries`] shares how many requests are sent again, [`event`] splits a stream into the events that can be resumed after.
-//! - What runners say of themselves in answers ([`feedback`]): for how long they want nothing from a node
-//!   ([`backoff`]), and how many requests a second ([`rate`]) they take from all nodes together
-//!   ([`throttle`]), which [`allocation`] shares among the halls. [`rejections`] keeps which turn
-//!   requests away without a word.
-//! - Requests that end runners: [`fingerprint`] and [`evidence`] of one, [`interruptions`] that are undecided,
-//!   [`suspects`] (what all nodes know), [`gossip`] (how they tell it), [`trials`] (what is run).
-//! - [`source`] says whom a node asks for what the store holds.
+//! # What is known
+//!
+//! - [`position`]: positions in the history of the store.
+//! - [`settings`]: the settings of a node at its start.
+//! - [`catalog`]: the configuration that operators publish.
+//! - [`runner`] and [`roster`]: one runner as its entry describes it, and all known runners.
+//! - [`plan`]: the placement of groups on the runners of a domain.
+//! - [`probe`]: the health of runners.
+//! - [`stall`]: since when retired groups are stalled.
+//! - [`directory`]: the nodes and their roles.
+//! - [`presence`]: the nodes that are gone for good.
+//! - [`occupancy`]: the in-flight requests of all nodes.
+//! - [`source`]: where a node learns of changes of the store, and how often it may call the store.
+//! - [`freshness`]: how long a node may rely on the API keys that it knows.
+//!
+//! # Decisions about groups
+//!
+//! [`decide`] is the entry point. It calls the others, on the node that holds the decider lease.
+//!
+//! - [`snapshot`]: the planner's input, and [`memory`]: what the planner remembers besides it.
+//! - [`demand`], [`loads`] and [`reserve`]: the share of the runners that each model needs, how many
+//!   runners may load a model at once, and the value of spare runners.
+//! - [`loss`]: retires groups that lost a member.
+//! - [`form`] and [`preempt`]: form groups from free runners, or from the members of smaller groups.
+//! - [`adopt`]: finds groups whose plan was lost.
+//! - [`staging`]: the models to hold on the hosts of runners.
+//! - [`orders`] and [`order`]: the commands that bring runners to the planned state.
+//! - [`census`]: counts groups and runners for the log.
+//!
+//! # Decisions about requests
+//!
+//! - [`dispatch`]: picks the group for a request, on the collector for all nodes of its hall.
+//! - [`balance`]: picks the runner for a request on a node by itself.
+//! - [`limit`]: limits the requests that a node has in flight.
+//! - [`retries`]: divides the fleet's retry budget among the nodes.
+//! - [`event`]: splits a stream into the events after which it can be resumed.
+//!
+//! # Feedback of runners
+//!
+//! - [`feedback`]: what runners report about themselves in answers.
+//! - [`backoff`]: the runners that asked this node to send no requests for a while.
+//! - [`throttle`] and [`rate`]: the rate limits that runners announce for all nodes together.
+//! - [`allocation`]: divides a rate limit among the halls.
+//! - [`rejections`]: the runners that reject requests while they look healthy.
+//!
+//! # Requests that crash runners
+//!
+//! - [`fingerprint`]: identifies equal requests.
+//! - [`evidence`]: the crashes known of a request, and how strongly it is suspected.
+//! - [`interruptions`]: attempts that broke off before a crash of the runner was known.
+//! - [`suspects`]: tells requests that crash their runners from those in flight by chance.
+//! - [`gossip`]: exchanges suspected requests between nodes.
+//! - [`trials`]: decides when a suspected request may run.
 
 pub mod adopt;
 pub mod allocation;
