--- a/crates/fleet/benches/outbreak.rs
+++ b/crates/fleet/benches/outbreak.rs
@@ -4,7 +4,7 @@
 #[path = "../tests/outbreak/mod.rs"]
 mod outbreak;
 
-use outbreak::{Day, SIZES, Trouble, Way, play_seeds};
+use outbreak::{Fault, Policy, SIZES, Scenario, simulate_seeds};
 
 const SEEDS: u64 = 20;
 
@@ -13,29 +13,30 @@
 
 fn main() {
     println!("nodes trouble load way | ends most late known served wronged held bytes/s");
-    let cells = SIZES.into_iter().flat_map(|size| Trouble::ALL.map(|trouble| (size, trouble)));
-    for (size, trouble) in cells {
-        if trouble != Trouble::None && size.nodes != SIZES[0].nodes {
+    let cells = SIZES.into_iter().flat_map(|size| Fault::ALL.map(|fault| (size, fault)));
+    for (size, fault) in cells {
+        if fault != Fault::None && size.nodes != SIZES[0].nodes {
             continue;
         }
         for (deadly, rate) in LOADS {
-            for way in Way::ALL {
+            for policy in Policy::ALL {
                 // Nothing ends such a day, and it says the same at any size.
-                if way == Way::None && size.nodes != SIZES[0].nodes {
+                if policy == Policy::None && size.nodes != SIZES[0].nodes {
                     continue;
                 }
-                let sum = play_seeds(SEEDS, &|seed| Day { size, deadly, rate, way, trouble, seed });
+                let summary =
+                    simulate_seeds(SEEDS, &|seed| Scenario { size, deadly, rate, policy, fault, seed });
                 println!(
-                    "{} {trouble:?} {deadly}x{rate} {way:?} | {:.1} {} {} {} {:.3} {} {} {:.0}",
+                    "{} {fault:?} {deadly}x{rate} {policy:?} | {:.1} {} {} {} {:.3} {} {} {:.0}",
                     size.nodes,
-                    sum.ends,
-                    sum.ends_most,
-                    sum.late_most,
-                    sum.known_most,
-                    sum.served,
-                    sum.wronged,
-                    sum.held,
-                    sum.bytes
+                    summary.crashes,
+                    summary.max_crashes,
+                    summary.max_late_runs,
+                    summary.max_propagation,
+                    summary.served,
+                    summary.wrongly_rejected,
+                    summary.quarantined,
+                    summary.bytes
                 );
             }
         }
--- a/crates/fleet/benches/pressure.rs
+++ b/crates/fleet/benches/pressure.rs
@@ -17,20 +17,25 @@
 use cottoncrank_fleet::runner::Incarnation;
 use cottoncrank_fleet::throttle::Message;
 use plotters::prelude::*;
-use pressure::{END, NAMED, Scene, TROUBLE, TROUBLES, Trouble, WAYS, Way, least, play, worst};
+use pressure::{
+    ANNOUNCED, END, FAULT_PERIOD, FAULTS, Fault, POLICIES, Policy, Simulation, find_max, find_min, simulate,
+};
 
 const SEEDS: std::ops::Range<u64> = 1..21;
 
 const RATES: [f64; 2] = [1.1, 20.0];
 
 /// Runners that name a rate, of six hundred.
-const LIMITED: usize = 60;
+const RATE_LIMITED: usize = 60;
 
 /// The plot shows what came in so many milliseconds, as a rate.
-const SPAN: u64 = 1000;
+const PLOT_WINDOW: u64 = 1000;
 
-const SHOWN: [(Way, RGBColor); 3] =
-    [(Way::Forgotten, RGBColor(150, 150, 150)), (Way::Lent, RGBColor(200, 120, 0)), (Way::Wanted, BLUE)];
+const PLOTTED_POLICIES: [(Policy, RGBColor); 3] = [
+    (Policy::Forgotten, RGBColor(150, 150, 150)),
+    (Policy::Lent, RGBColor(200, 120, 0)),
+    (Policy::Wanted, BLUE),
+];
 
 fn main() -> Result<(), Box<dyn Error>> {
     print_table();
@@ -42,15 +47,15 @@
     println!("rate | nodes | trouble | way | against | excess | used | used before");
     for rate in RATES {
         for nodes in [12, 90, 300] {
-            for trouble in TROUBLES {
-                for way in WAYS {
-                    let all = play(way, trouble, nodes, rate, SEEDS);
+            for fault in FAULTS {
+                for policy in POLICIES {
+                    let outcomes = simulate(policy, fault, nodes, rate, SEEDS);
                     println!(
-                        "{rate} | {nodes} | {trouble:?} | {way:?} | {:.2} | {:.1} | {:.2} | {:.2}",
-                        worst(&all, |one| one.against),
-                        worst(&all, |one| one.excess),
-                        least(&all, |one| one.used),
-                        least(&all, |one| one.used_calm),
+                        "{rate} | {nodes} | {fault:?} | {policy:?} | {:.2} | {:.1} | {:.2} | {:.2}",
+                        find_max(&outcomes, |one| one.load_ratio),
+                        find_max(&outcomes, |one| one.excess),
+                        find_min(&outcomes, |one| one.utilization),
+                        find_min(&outcomes, |one| one.calm_utilization),
                     );
                 }
             }
@@ -60,18 +65,19 @@
 
 /// What claims and wants add to a report of a hall, and a claim to that of a node.
 fn print_bytes() -> Result<(), Box<dyn Error>> {
-    let name = |number: usize| format!("i-{number:010x}").parse();
+    let runner_id = |number: usize| format!("i-{number:010x}").parse();
     let claim = |number| -> Result<Message, Box<dyn Error>> {
         let life = Some(Incarnation(1_770_000_000_000 + number as u64));
         let (asked, heard) = (Millis(900), Millis(600));
-        Ok(Message { runner: name(number)?, life, rate: Some(Rate(1600)), asked, heard })
+        Ok(Message { runner: runner_id(number)?, life, rate: Some(Rate(1600)), asked, heard })
     };
-    let claims = (0..LIMITED).map(claim).collect::<Result<Vec<Message>, _>>()?;
-    let want = |number| Ok::<Demand, Box<dyn Error>>(Demand { runner: name(number)?, rate: Rate(5300) });
-    let wants = (0..LIMITED).map(want).collect::<Result<Vec<Demand>, _>>()?;
-    let news = Digest { claims, ..Digest::default() };
-    let (news, wants) = (rmp_serde::to_vec(&news)?.len(), rmp_serde::to_vec(&wants)?.len());
-    println!("bytes for {LIMITED} runners: claims {news}, wants {wants}");
+    let claims = (0..RATE_LIMITED).map(claim).collect::<Result<Vec<Message>, _>>()?;
+    let demand =
+        |number| Ok::<Demand, Box<dyn Error>>(Demand { runner: runner_id(number)?, rate: Rate(5300) });
+    let demands = (0..RATE_LIMITED).map(demand).collect::<Result<Vec<Demand>, _>>()?;
+    let digest = Digest { claims, ..Digest::default() };
+    let (digest, demands) = (rmp_serde::to_vec(&digest)?.len(), rmp_serde::to_vec(&demands)?.len());
+    println!("bytes for {RATE_LIMITED} runners: claims {digest}, wants {demands}");
     Ok(())
 }
 
@@ -88,18 +94,19 @@
         .y_label_area_size(40)
         .build_cartesian_2d(0.0..seconds, 0.0..60.0)?;
     chart.configure_mesh().x_desc("seconds").y_desc("requests a second").draw()?;
-    let allowed = [(NAMED as f64 / 1000.0, rate), (seconds, rate)];
-    chart.draw_series(LineSeries::new(allowed, &RED))?.label("named").legend(|at| key(at, RED));
-    for (way, color) in SHOWN {
-        let sent = Scene::new(way, Trouble::HallCut, 300, rate, 1).trace();
-        let count = |from: u64| sent.iter().filter(|at| (from..from + SPAN).contains(at)).count() as f64;
-        let points = (0..END - SPAN).step_by(100).map(|from| (from as f64 / 1000.0, count(from)));
+    let allowed = [(ANNOUNCED as f64 / 1000.0, rate), (seconds, rate)];
+    chart.draw_series(LineSeries::new(allowed, &RED))?.label("named").legend(|at| draw_legend(at, RED));
+    for (policy, color) in PLOTTED_POLICIES {
+        let sent = Simulation::new(policy, Fault::HallCut, 300, rate, 1).trace();
+        let count =
+            |from: u64| sent.iter().filter(|at| (from..from + PLOT_WINDOW).contains(at)).count() as f64;
+        let points = (0..END - PLOT_WINDOW).step_by(100).map(|from| (from as f64 / 1000.0, count(from)));
         chart
             .draw_series(LineSeries::new(points, &color))?
-            .label(format!("{way:?}"))
-            .legend(move |at| key(at, color));
+            .label(format!("{policy:?}"))
+            .legend(move |at| draw_legend(at, color));
     }
-    for at in [TROUBLE.start, TROUBLE.end] {
+    for at in [FAULT_PERIOD.start, FAULT_PERIOD.end] {
         let at = at as f64 / 1000.0;
         chart.draw_series(LineSeries::new([(at, 0.0), (at, 60.0)], &BLACK))?;
     }
@@ -110,6 +117,6 @@
 }
 
 /// The mark of a line in the key.
-fn key((x, y): (i32, i32), color: RGBColor) -> PathElement<(i32, i32)> {
+fn draw_legend((x, y): (i32, i32), color: RGBColor) -> PathElement<(i32, i32)> {
     PathElement::new(vec![(x, y), (x + 18, y)], color)
 }
--- a/crates/fleet/tests/forgotten.rs
+++ b/crates/fleet/tests/compaction.rs
@@ -16,13 +16,13 @@
 const BOUND: Millis = Millis(5000);
 
 /// How long a call to the store takes, a question to a node, and a question without news.
-const CALL: Millis = Millis(4);
-const ASK: Millis = Millis(2);
-const WAIT: Millis = Millis(700);
+const CALL_TIME: Millis = Millis(4);
+const QUERY_TIME: Millis = Millis(2);
+const LONG_POLL: Millis = Millis(700);
 
 /// How long it takes to read all that the store holds, on a box of a whole core and on a small one.
-const WHOLE: Millis = Millis(250);
-const WHOLE_SMALL: Millis = Millis(1500);
+const FULL_READ_TIME: Millis = Millis(250);
+const FULL_READ_TIME_SMALL: Millis = Millis(1500);
 
 const HALLS: usize = 5;
 
@@ -33,13 +33,13 @@
 struct Follower {
     peer: Peer,
     sources: Sources,
-    next: Millis,
+    next_call: Millis,
     /// Whether the store has told this node that it forgot the history.
-    forgotten: bool,
+    compacted: bool,
     /// Whether it answers those that ask.
     serving: bool,
     /// Whether it knows the change that was made meanwhile, and from when on.
-    knows: Option<Millis>,
+    informed_at: Option<Millis>,
 }
 
 /// The nodes of a fleet, the first boxes of each hall of a whole core if there are such.
@@ -57,33 +57,41 @@
         directory.insert(peer.clone());
         let mut sources = Sources::new(BOUND);
         sources.record_answer(Millis(0), Millis(0));
-        let next = Millis(1 + (at as u64 * 37) % WAIT.0);
-        followers.push(Follower { peer, sources, next, forgotten: false, serving: true, knows: None });
+        let next_call = Millis(1 + (at as u64 * 37) % LONG_POLL.0);
+        followers.push(Follower {
+            peer,
+            sources,
+            next_call,
+            compacted: false,
+            serving: true,
+            informed_at: None,
+        });
     }
     (directory, followers)
 }
 
 /// The store has forgotten its history, and has cut all watches, when a change was made. Returns
 /// how many nodes read all that it holds, and when the last one knew of the change.
-fn forget(nodes: usize, large: usize, seed: u64) -> (usize, Millis) {
+fn simulate(nodes: usize, large: usize, seed: u64) -> (usize, Millis) {
     let (directory, mut followers) = build(nodes, large);
     let mut rng = SmallRng::seed_from_u64(seed);
     let decider = followers[0].peer.node.clone();
-    let (mut wholes, mut now) = (0, Millis(1));
+    let (mut full_reads, mut now) = (0, Millis(1));
     // The watch of the deciding node was cut.
     followers[0].serving = false;
     while now < Millis(BOUND.0 + 100)
-        && followers.iter().any(|follower| follower.knows.is_none_or(|at| at > now))
+        && followers.iter().any(|follower| follower.informed_at.is_none_or(|at| at > now))
     {
         for at in 0..followers.len() {
-            if now >= followers[at].next {
-                let next = step(&directory, &mut followers, at, &decider, &mut wholes, now, &mut rng);
-                followers[at].next = now + next;
+            if now >= followers[at].next_call {
+                let next_call =
+                    step(&directory, &mut followers, at, &decider, &mut full_reads, now, &mut rng);
+                followers[at].next_call = now + next_call;
             }
         }
         now = now + Millis(5);
     }
-    (wholes, now)
+    (full_reads, now)
 }
 
 /// One call of a node. Returns how long it takes.
@@ -92,65 +100,65 @@
     followers: &mut [Follower],
     at: usize,
     decider: &id::Node,
-    wholes: &mut usize,
+    full_reads: &mut usize,
     now: Millis,
     rng: &mut SmallRng,
 ) -> Millis {
     let Peer { node, hall, processor, .. } = followers[at].peer.clone();
-    let deciding = node == *decider;
+    let is_decider = node == *decider;
     let me = &mut followers[at];
-    let source = match deciding {
+    let source = match is_decider {
         true => me.sources.pick_store(&node, &hall, directory, now),
         false => me.sources.pick(&node, &hall, Some(decider), directory, now, rng),
     };
     match source {
-        Source::Store if me.knows.is_some() => {
+        Source::Store if me.informed_at.is_some() => {
             me.sources.record_store_answer(now);
-            WAIT
+            LONG_POLL
         }
-        Source::Store if !me.forgotten => {
-            me.forgotten = true;
-            me.sources.record_compaction(&node, &hall, deciding, directory, now, rng);
-            CALL
+        Source::Store if !me.compacted => {
+            me.compacted = true;
+            me.sources.record_compaction(&node, &hall, is_decider, directory, now, rng);
+            CALL_TIME
         }
         Source::Store => {
-            *wholes += 1;
-            let took = if processor == LARGE { WHOLE } else { WHOLE_SMALL };
-            me.sources.record_store_answer(now + took);
-            (me.knows, me.serving) = (Some(now + took), true);
-            took
+            *full_reads += 1;
+            let read_time = if processor == LARGE { FULL_READ_TIME } else { FULL_READ_TIME_SMALL };
+            me.sources.record_store_answer(now + read_time);
+            (me.informed_at, me.serving) = (Some(now + read_time), true);
+            read_time
         }
-        Source::Reader(asked) | Source::Upstream(asked) => {
-            let other = followers.iter().find(|other| other.peer.node == asked.node).unwrap();
-            let told = other.knows.filter(|at| *at <= now);
-            let serving = other.serving && !other.forgotten || told.is_some();
+        Source::Reader(queried) | Source::Upstream(queried) => {
+            let other = followers.iter().find(|other| other.peer.node == queried.node).unwrap();
+            let informed_at = other.informed_at.filter(|at| *at <= now);
+            let serving = other.serving && !other.compacted || informed_at.is_some();
             let me = &mut followers[at];
-            match (told, serving) {
+            match (informed_at, serving) {
                 (Some(_), _) => {
                     me.sources.record_answer(now, now);
-                    (me.knows, me.forgotten, me.serving) = (Some(now + ASK), false, true);
-                    WAIT
+                    (me.informed_at, me.compacted, me.serving) = (Some(now + QUERY_TIME), false, true);
+                    LONG_POLL
                 }
                 (None, true) => {
                     me.sources.record_answer(now, now);
-                    ASK + Millis(20)
+                    QUERY_TIME + Millis(20)
                 }
                 (None, false) => {
-                    me.sources.record_failure(asked.node, Failure::Stale, now);
-                    ASK
+                    me.sources.record_failure(queried.node, Failure::Stale, now);
+                    QUERY_TIME
                 }
             }
         }
-        Source::Wait(pause) => pause.max(CALL),
+        Source::Wait(pause) => pause.max(CALL_TIME),
     }
 }
 
 #[test]
 fn all_that_the_store_holds_is_read_by_few_nodes_of_each_hall_whatever_the_fleet() {
     for (nodes, large) in [(90, 0), (300, 0), (985, 10), (1970, 10)] {
-        let (wholes, last) = forget(nodes, large, 1);
-        assert!(wholes <= 3 * HALLS, "{nodes} nodes: {wholes} read all that the store holds");
-        assert!(last < BOUND, "{nodes} nodes: a change was known everywhere after {last}");
+        let (full_reads, last_informed) = simulate(nodes, large, 1);
+        assert!(full_reads <= 3 * HALLS, "{nodes} nodes: {full_reads} read all that the store holds");
+        assert!(last_informed < BOUND, "{nodes} nodes: a change was known everywhere after {last_informed}");
     }
 }
 
--- a/crates/fleet/tests/dispatch.rs
+++ b/crates/fleet/tests/dispatch.rs
@@ -76,7 +76,7 @@
 
 const REQUEST: Request = Request { account: None, method: "POST", path: "/write/x", body: b"body" };
 
-fn question(urgency: Urgency, tried: &[u64]) -> Query {
+fn query(urgency: Urgency, tried: &[u64]) -> Query {
     Query {
         report: report("n1", &[]),
         service: "llm".parse().unwrap(),
@@ -92,19 +92,19 @@
 }
 
 /// The group that takes the request, if one does.
-fn taken(reply: Reply) -> Option<Epoch> {
+fn assigned_epoch(reply: Reply) -> Option<Epoch> {
     match reply {
-        Reply::Take(promise) => Some(promise.epoch),
+        Reply::Take(assignment) => Some(assignment.epoch),
         Reply::Throttled(_) | Reply::Full(_) | Reply::Unknown | Reply::Held | Reply::Deadly => None,
     }
 }
 
 /// What a dispatcher of hall-a answers at `now`, where so many requests run at each group.
-fn choose(
+fn choose_with(
     dispatcher: &mut Dispatcher,
     heads: &[Runner],
     load: impl Fn(Epoch) -> Load,
-    question: &Query,
+    query: &Query,
     now: Millis,
 ) -> Reply {
     let (hall, model): (id::Hall, Model) = ("hall-a".parse().unwrap(), model());
@@ -118,14 +118,14 @@
         trial_groups: &[],
         rate_limited: &[],
     };
-    dispatcher.choose(&choice, question, load, now, &mut SmallRng::seed_from_u64(1)).reply
+    dispatcher.choose(&choice, query, load, now, &mut SmallRng::seed_from_u64(1)).reply
 }
 
 /// The same of one that is new.
-fn ask(heads: &[Runner], running: &[(u64, Load)], urgency: Urgency, tried: &[u64]) -> Reply {
+fn choose_group(heads: &[Runner], running: &[(u64, Load)], urgency: Urgency, tried: &[u64]) -> Reply {
     let loads: HashMap<Epoch, Load> = running.iter().map(|(epoch, load)| (Epoch(*epoch), *load)).collect();
     let load = |epoch: Epoch| loads.get(&epoch).copied().unwrap_or_default();
-    choose(&mut Dispatcher::default(), heads, load, &question(urgency, tried), Millis(1000))
+    choose_with(&mut Dispatcher::default(), heads, load, &query(urgency, tried), Millis(1000))
 }
 
 fn running(count: u32) -> Load {
@@ -137,25 +137,31 @@
 #[test]
 fn groups_of_the_own_hall_go_first_until_others_promise_an_earlier_event() {
     let heads = [head(1, "hall-a"), head(2, "hall-b")];
-    assert_eq!(taken(ask(&heads, &[(1, running(12)), (2, running(0))], IN_TIME, &[])), Some(Epoch(1)));
-    assert_eq!(taken(ask(&heads, &[(1, running(14)), (2, running(8))], IN_TIME, &[])), Some(Epoch(2)));
+    assert_eq!(
+        assigned_epoch(choose_group(&heads, &[(1, running(12)), (2, running(0))], IN_TIME, &[])),
+        Some(Epoch(1))
+    );
+    assert_eq!(
+        assigned_epoch(choose_group(&heads, &[(1, running(14)), (2, running(8))], IN_TIME, &[])),
+        Some(Epoch(2))
+    );
 }
 
 #[test]
 fn what_cannot_be_in_time_is_refused_at_once_and_what_was_sent_goes_on() {
     let heads = [head(1, "hall-a"), head(2, "hall-a")];
     let full = [(1, running(20)), (2, running(20))];
-    assert!(matches!(ask(&heads, &full, IN_TIME, &[]), Reply::Full(wait) if wait > 300));
-    assert_eq!(taken(ask(&heads, &full, Urgency::Again, &[1])), Some(Epoch(2)));
-    assert_eq!(ask(&heads, &full, Urgency::Again, &[1, 2]), Reply::Unknown, "both were tried");
+    assert!(matches!(choose_group(&heads, &full, IN_TIME, &[]), Reply::Full(wait) if wait > 300));
+    assert_eq!(assigned_epoch(choose_group(&heads, &full, Urgency::Again, &[1])), Some(Epoch(2)));
+    assert_eq!(choose_group(&heads, &full, Urgency::Again, &[1, 2]), Reply::Unknown, "both were tried");
 }
 
 #[test]
 fn a_request_that_cannot_be_in_time_takes_only_room_to_spare() {
     let heads = [head(1, "hall-a")];
     let late = Urgency::Within(20);
-    assert_eq!(taken(ask(&heads, &[(1, running(8))], late, &[])), Some(Epoch(1)));
-    assert!(matches!(ask(&heads, &[(1, running(9))], late, &[]), Reply::Full(_)));
+    assert_eq!(assigned_epoch(choose_group(&heads, &[(1, running(8))], late, &[])), Some(Epoch(1)));
+    assert!(matches!(choose_group(&heads, &[(1, running(9))], late, &[]), Reply::Full(_)));
 }
 
 #[test]
@@ -171,7 +177,7 @@
             .collect();
         let urgency = Urgency::Within(rng.random_range(0..600));
         let room = loads.iter().any(|(_, load)| f64::from(load.running) < 0.6 * f64::from(SLOTS));
-        let reply = ask(&heads, &loads, urgency, &[]);
+        let reply = choose_group(&heads, &loads, urgency, &[]);
         assert!(!room || matches!(reply, Reply::Take(_)), "{reply:?} to {urgency:?} with {loads:?}");
     }
 }
@@ -185,7 +191,7 @@
     assert_eq!(loads[&Epoch(1)], Load { running: 0, doubts: 1 });
     let heads = [head(1, "hall-a"), head(2, "hall-b")];
     let doubted = [(1, loads[&Epoch(1)]), (2, running(10))];
-    assert_eq!(taken(ask(&heads, &doubted, IN_TIME, &[])), Some(Epoch(2)));
+    assert_eq!(assigned_epoch(choose_group(&heads, &doubted, IN_TIME, &[])), Some(Epoch(2)));
 }
 
 #[test]
@@ -202,8 +208,8 @@
 fn the_groups_of_a_hall_that_does_not_tell_are_left_while_others_have_room() {
     let hall: id::Hall = "hall-a".parse().unwrap();
     let model = model();
-    let (here, there) = (head(1, "hall-a"), head(2, "hall-b"));
-    let heads = [&here, &there];
+    let (local, remote) = (head(1, "hall-a"), head(2, "hall-b"));
+    let heads = [&local, &remote];
     let silent = ["hall-b".parse().unwrap()];
     let choice = Candidates {
         hall: &hall,
@@ -216,18 +222,18 @@
     };
     let load = |epoch: Epoch| if epoch == Epoch(1) { running(15) } else { running(0) };
     let mut rng = SmallRng::seed_from_u64(1);
-    let question = question(Urgency::Again, &[]);
-    let reply = Dispatcher::default().choose(&choice, &question, load, Millis(1000), &mut rng).reply;
-    assert_eq!(taken(reply), Some(Epoch(1)));
+    let query = query(Urgency::Again, &[]);
+    let reply = Dispatcher::default().choose(&choice, &query, load, Millis(1000), &mut rng).reply;
+    assert_eq!(assigned_epoch(reply), Some(Epoch(1)));
 }
 
 #[test]
 fn a_group_behind_a_cut_has_no_room_to_spare() {
     let hall: id::Hall = "hall-a".parse().unwrap();
     let model = model();
-    let (here, there) = (head(1, "hall-a"), head(2, "hall-b"));
-    let heads = [&here, &there];
-    let ask = |silent: &[id::Hall], doubts: u32| {
+    let (local, remote) = (head(1, "hall-a"), head(2, "hall-b"));
+    let heads = [&local, &remote];
+    let choose_group = |silent: &[id::Hall], doubts: u32| {
         let choice = Candidates {
             hall: &hall,
             silent_halls: silent,
@@ -242,16 +248,16 @@
             _ => Load { running: 0, doubts },
         };
         let mut rng = SmallRng::seed_from_u64(1);
-        let question = question(Urgency::Within(20), &[]);
-        Dispatcher::default().choose(&choice, &question, load, Millis(1000), &mut rng).reply
+        let query = query(Urgency::Within(20), &[]);
+        Dispatcher::default().choose(&choice, &query, load, Millis(1000), &mut rng).reply
     };
     let silent = ["hall-b".parse().unwrap()];
     // Nobody tells of the other hall, and a request to its group has failed.
-    assert!(matches!(ask(&silent, 1), Reply::Full(_)));
+    assert!(matches!(choose_group(&silent, 1), Reply::Full(_)));
     // Its collector may have died: its groups are tried.
-    assert_eq!(taken(ask(&silent, 0)), Some(Epoch(2)));
+    assert_eq!(assigned_epoch(choose_group(&silent, 0)), Some(Epoch(2)));
     // The hall tells: one request that failed does not fill a group.
-    assert_eq!(taken(ask(&[], 1)), Some(Epoch(2)));
+    assert_eq!(assigned_epoch(choose_group(&[], 1)), Some(Epoch(2)));
 }
 
 /// How requests find their groups.
@@ -268,12 +274,12 @@
 /// of their group taken.
 fn replay(policy: Policy, load: f64) -> f64 {
     let heads: Vec<Runner> = (1..=13).map(|number| head(number, "hall-a")).collect();
-    let refs: Vec<&Runner> = heads.iter().collect();
+    let head_refs: Vec<&Runner> = heads.iter().collect();
     let (hall, model): (id::Hall, Model) = ("hall-a".parse().unwrap(), model());
     let choice = Candidates {
         hall: &hall,
         silent_halls: &[],
-        heads: &refs,
+        heads: &head_refs,
         model: &model,
         speed: &SPEED,
         trial_groups: &[],
@@ -283,9 +289,9 @@
     let mut dispatcher = Dispatcher::default();
     let mut running_at: HashMap<Epoch, u32> = HashMap::new();
     let mut ends: BinaryHeap<Reverse<(u64, Epoch)>> = BinaryHeap::new();
-    let (mut view, mut told) = (FleetLoad::default(), 0);
+    let (mut fleet_load, mut last_report) = (FleetLoad::default(), 0);
     let per_second = load * 13.0 * f64::from(SLOTS);
-    let (mut now, mut asked, mut waiting) = (1000.0, 0, 0);
+    let (mut now, mut requests, mut queued) = (1000.0, 0, 0);
     while now < 61_000.0 {
         now += -rng.random::<f64>().ln() * 1000.0 / per_second;
         let at = Millis(now as u64);
@@ -295,31 +301,31 @@
             *running_at.get_mut(&epoch).unwrap() -= 1;
             let _ = end;
         }
-        if at.0 >= told + 500 {
-            told = at.0;
+        if at.0 >= last_report + 500 {
+            last_report = at.0;
             let counts = running_at.iter().map(|(epoch, count)| (*epoch, *count)).collect();
-            view.update(InFlight { nodes: 59, counts }, 60, at);
+            fleet_load.update(InFlight { nodes: 59, counts }, 60, at);
         }
         let epoch = match policy {
             Policy::Collector => {
                 let load = |epoch: Epoch| running(running_at.get(&epoch).copied().unwrap_or(0));
-                match dispatcher.choose(&choice, &question(Urgency::Again, &[]), load, at, &mut rng).reply {
-                    Reply::Take(promise) => promise.epoch,
+                match dispatcher.choose(&choice, &query(Urgency::Again, &[]), load, at, &mut rng).reply {
+                    Reply::Take(assignment) => assignment.epoch,
                     reply => panic!("{reply:?}"),
                 }
             }
             Policy::Nodes => {
-                let picked = pick(&refs, &[], &Ledger::default(), &view, at, &mut rng).unwrap();
+                let picked = pick(&head_refs, &[], &Ledger::default(), &fleet_load, at, &mut rng).unwrap();
                 picked.membership.as_ref().unwrap().epoch
             }
         };
-        asked += 1;
-        let there = running_at.entry(epoch).or_default();
-        waiting += usize::from(*there >= SLOTS);
-        *there += 1;
+        requests += 1;
+        let in_flight = running_at.entry(epoch).or_default();
+        queued += usize::from(*in_flight >= SLOTS);
+        *in_flight += 1;
         ends.push(Reverse((at.0 + rng.random_range(300..1700), epoch)));
     }
-    waiting as f64 / f64::from(asked)
+    queued as f64 / f64::from(requests)
 }
 
 #[test]
@@ -342,28 +348,28 @@
 #[test]
 fn what_first_events_come_later_than_expected_is_taken_off() {
     let heads = [head(1, "hall-a")];
-    let ask = |dispatcher: &mut Dispatcher, millis: u64| {
-        let question = question(Urgency::Within(millis), &[]);
-        choose(dispatcher, &heads, |_| running(13), &question, Millis(1000))
+    let choose_group = |dispatcher: &mut Dispatcher, millis: u64| {
+        let query = query(Urgency::Within(millis), &[]);
+        choose_with(dispatcher, &heads, |_| running(13), &query, Millis(1000))
     };
     let mut dispatcher = Dispatcher::default();
-    let Reply::Take(promise) = ask(&mut dispatcher, 300) else { panic!("it has a free slot") };
-    let wanted = promise.expected + 80;
-    assert!(matches!(ask(&mut Dispatcher::default(), wanted), Reply::Take(_)));
+    let Reply::Take(assignment) = choose_group(&mut dispatcher, 300) else { panic!("it has a free slot") };
+    let wanted = assignment.expected + 80;
+    assert!(matches!(choose_group(&mut Dispatcher::default(), wanted), Reply::Take(_)));
     for _ in 0..40 {
         dispatcher.record_sample(&sample(120));
     }
-    assert!(matches!(ask(&mut dispatcher.clone(), wanted), Reply::Full(_)));
-    assert!(matches!(ask(&mut dispatcher.clone(), wanted + 200), Reply::Take(_)));
+    assert!(matches!(choose_group(&mut dispatcher.clone(), wanted), Reply::Full(_)));
+    assert!(matches!(choose_group(&mut dispatcher.clone(), wanted + 200), Reply::Take(_)));
     // A minority of requests that met a group which stands still says nothing.
     for number in 0..200 {
         dispatcher.record_sample(&sample(if number % 4 == 0 { 2000 } else { 120 }));
     }
-    assert!(matches!(ask(&mut dispatcher.clone(), wanted + 200), Reply::Take(_)));
+    assert!(matches!(choose_group(&mut dispatcher.clone(), wanted + 200), Reply::Take(_)));
     for _ in 0..80 {
         dispatcher.record_sample(&sample(0));
     }
-    assert!(matches!(ask(&mut dispatcher, wanted), Reply::Take(_)), "they come as expected again");
+    assert!(matches!(choose_group(&mut dispatcher, wanted), Reply::Take(_)), "they come as expected again");
 }
 
 #[test]
@@ -373,8 +379,8 @@
     for _ in 0..1000 {
         dispatcher.record_sample(&sample(5000));
     }
-    let question = question(Urgency::Within(400), &[]);
-    let reply = choose(&mut dispatcher, &heads, |_| running(12), &question, Millis(1000));
+    let query = query(Urgency::Within(400), &[]);
+    let reply = choose_with(&mut dispatcher, &heads, |_| running(12), &query, Millis(1000));
     assert!(matches!(reply, Reply::Take(_)), "{reply:?}");
 }
 
@@ -382,8 +388,8 @@
 /// a quarter more prompts than it can read, for a minute. Returns the part of the requests
 /// let in whose first event comes within 500 ms.
 fn replay_hidden_time(learning: bool) -> f64 {
-    const HIDDEN: f64 = 120.0;
-    const WANTED: u64 = 500;
+    const EXTRA_DELAY: f64 = 120.0;
+    const DEADLINE: u64 = 500;
     let (heads, model) = ([head(1, "hall-a")], model());
     let mut rng = SmallRng::seed_from_u64(4);
     let mut dispatcher = Dispatcher::default();
@@ -392,26 +398,26 @@
     let reading = model.pace * f64::from(prompt) / SPEED.prompt_tokens_per_ms / 0.5;
     let passes = 2.0 * SPEED.stride * model.pace * (SPEED.step_ms + SPEED.per_request_ms * 10.0);
     let (mut now, mut read) = (1000.0, 0.0_f64);
-    let (mut let_in, mut in_time) = (0, 0);
-    let mut firsts: Vec<(f64, i64)> = Vec::new();
+    let (mut admitted, mut in_time) = (0, 0);
+    let mut first_events: Vec<(f64, i64)> = Vec::new();
     while now < 61_000.0 {
         now += -rng.random::<f64>().ln() * reading / 1.25;
-        firsts.retain(|(at, later)| {
+        first_events.retain(|(at, later)| {
             if learning && *at <= now {
                 dispatcher.record_sample(&sample(*later));
             }
             *at > now
         });
-        let question = Query { prompt, ..question(Urgency::Within(WANTED), &[]) };
-        let reply = choose(&mut dispatcher, &heads, |_| running(10), &question, Millis(now as u64));
-        let Reply::Take(promise) = reply else { continue };
+        let query = Query { prompt, ..query(Urgency::Within(DEADLINE), &[]) };
+        let reply = choose_with(&mut dispatcher, &heads, |_| running(10), &query, Millis(now as u64));
+        let Reply::Take(assignment) = reply else { continue };
         read = read.max(now) + reading;
-        let first = read + passes + HIDDEN;
-        let_in += 1;
-        in_time += usize::from(first - now <= WANTED as f64);
-        firsts.push((first, (first - now - promise.expected as f64) as i64));
+        let first = read + passes + EXTRA_DELAY;
+        admitted += 1;
+        in_time += usize::from(first - now <= DEADLINE as f64);
+        first_events.push((first, (first - now - assignment.expected as f64) as i64));
     }
-    in_time as f64 / f64::from(let_in)
+    in_time as f64 / f64::from(admitted)
 }
 
 #[test]
@@ -425,21 +431,21 @@
 fn a_suspected_request_is_kept_away_from_groups_that_have_another_one() {
     let heads = [head(1, "hall-a"), head(2, "hall-a")];
     let (hall, model): (id::Hall, Model) = ("hall-a".parse().unwrap(), model());
-    let refs: Vec<&Runner> = heads.iter().collect();
+    let head_refs: Vec<&Runner> = heads.iter().collect();
     let load = |epoch: Epoch| running(if epoch == Epoch(1) { 0 } else { 6 });
     let pick = |trials: &[Epoch]| {
         let choice = Candidates {
             hall: &hall,
             silent_halls: &[],
-            heads: &refs,
+            heads: &head_refs,
             model: &model,
             speed: &SPEED,
             trial_groups: trials,
             rate_limited: &[],
         };
-        let question = question(Urgency::Again, &[]);
+        let query = query(Urgency::Again, &[]);
         let rng = &mut SmallRng::seed_from_u64(1);
-        taken(Dispatcher::default().choose(&choice, &question, load, Millis(1000), rng).reply)
+        assigned_epoch(Dispatcher::default().choose(&choice, &query, load, Millis(1000), rng).reply)
     };
     assert_eq!(pick(&[]), Some(Epoch(1)), "the idle one");
     assert_eq!(pick(&[Epoch(1)]), Some(Epoch(2)));
@@ -452,7 +458,7 @@
     let (idle, busy) = (head(1, "hall-a"), head(2, "hall-a"));
     let heads = [&idle, &busy];
     let load = |epoch: Epoch| running(if epoch == Epoch(1) { 0 } else { 10 });
-    let ask = |spent: &[(Epoch, Millis)]| {
+    let choose_group = |limited: &[(Epoch, Millis)]| {
         let choice = Candidates {
             hall: &hall,
             silent_halls: &[],
@@ -460,15 +466,15 @@
             model: &model,
             speed: &SPEED,
             trial_groups: &[],
-            rate_limited: spent,
+            rate_limited: limited,
         };
-        let question = question(IN_TIME, &[]);
+        let query = query(IN_TIME, &[]);
         let mut rng = SmallRng::seed_from_u64(1);
-        Dispatcher::default().choose(&choice, &question, load, Millis(1000), &mut rng)
+        Dispatcher::default().choose(&choice, &query, load, Millis(1000), &mut rng)
     };
     let [one, two] = [(Epoch(1), Millis(400)), (Epoch(2), Millis(300))];
-    assert_eq!(taken(ask(&[]).reply), Some(Epoch(1)), "it has nothing in flight");
-    let passed = ask(&[one]);
-    assert_eq!((taken(passed.reply), passed.best), (Some(Epoch(2)), Some(Epoch(1))));
-    assert_eq!(ask(&[one, two]).reply, Reply::Throttled(300), "the soonest place");
+    assert_eq!(assigned_epoch(choose_group(&[]).reply), Some(Epoch(1)), "it has nothing in flight");
+    let reply_and_best = choose_group(&[one]);
+    assert_eq!((assigned_epoch(reply_and_best.reply), reply_and_best.best), (Some(Epoch(2)), Some(Epoch(1))));
+    assert_eq!(choose_group(&[one, two]).reply, Reply::Throttled(300), "the soonest place");
 }
--- a/crates/fleet/tests/gossip.rs
+++ b/crates/fleet/tests/gossip.rs
@@ -35,27 +35,27 @@
     name: id::Node,
     instance: u64,
     table: Table,
-    book: Peers,
+    peers: Peers,
 }
 
 impl Node {
     fn new(name: &str, instance: u64) -> Node {
-        Node { name: name.parse().unwrap(), instance, table: Table::default(), book: Peers::default() }
+        Node { name: name.parse().unwrap(), instance, table: Table::default(), peers: Peers::default() }
     }
 
-    fn see(&mut self, name: &str, runners: &[u64]) {
+    fn record_crashes(&mut self, name: &str, runners: &[u64]) {
         self.table.merge(&row(name, runners), Origin::Hall, NOW);
     }
 
     /// Tells `other` and hears from it. Returns how many rows went there and back.
     fn exchange(&mut self, other: &mut Node, scope: Scope) -> (usize, usize) {
-        let (push, upto) = self.book.build_push(&self.table, &other.name);
+        let (push, version) = self.peers.build_push(&self.table, &other.name);
         let origin = if scope == Scope::Node { Origin::Hall } else { Origin::Elsewhere };
         for row in &push.rows {
             other.table.merge(row, origin, NOW);
         }
         let pull = build_pull(&other.table, other.instance, &push, scope);
-        self.book.record_pull(&other.name, upto, pull.mark);
+        self.peers.record_pull(&other.name, version, pull.mark);
         for row in &pull.rows {
             self.table.merge(row, Origin::Elsewhere, NOW);
         }
@@ -72,8 +72,8 @@
     let mut collector = Node::new("c", 1);
     let mut nodes: Vec<Node> = (0..4).map(|number| Node::new(&format!("n{number}"), 10 + number)).collect();
     for number in 0..3 {
-        nodes[number as usize].see("k", &[number]);
-        nodes[number as usize].see(&format!("by chance {number}"), &[number]);
+        nodes[number as usize].record_crashes("k", &[number]);
+        nodes[number as usize].record_crashes(&format!("by chance {number}"), &[number]);
         nodes[number as usize].exchange(&mut collector, Scope::Node);
     }
     assert_eq!(collector.level("k"), Level::Pending(3));
@@ -87,14 +87,14 @@
 #[test]
 fn collectors_tell_each_other_what_their_halls_have_seen_and_not_what_they_were_told() {
     let (mut a, mut b, mut c) = (Node::new("a", 1), Node::new("b", 2), Node::new("c", 3));
-    a.see("k", &[1]);
-    b.see("k", &[2, 3]);
+    a.record_crashes("k", &[1]);
+    b.record_crashes("k", &[2, 3]);
     assert_eq!(a.exchange(&mut b, Scope::Hall), (1, 0));
     assert_eq!(b.level("k"), Level::Pending(3));
     assert_eq!(b.exchange(&mut a, Scope::Hall), (1, 0));
     assert_eq!(a.level("k"), Level::Pending(3));
     // What a knows of b's hall is b's to tell: it passes its own row on, and no others.
-    b.see("other", &[9]);
+    b.record_crashes("other", &[9]);
     b.exchange(&mut a, Scope::Hall);
     assert_eq!(a.exchange(&mut c, Scope::Hall), (1, 0));
     assert_eq!(c.level("other"), Level::Clear);
@@ -105,7 +105,7 @@
 fn a_node_that_started_again_is_told_all_anew_and_tells_what_it_knows() {
     let mut collector = Node::new("c", 1);
     let mut node = Node::new("n", 2);
-    node.see("k", &[1, 2, 3]);
+    node.record_crashes("k", &[1, 2, 3]);
     node.exchange(&mut collector, Scope::Node);
     assert_eq!(node.exchange(&mut collector, Scope::Node), (0, 0));
     let mut collector = Node::new("c", 7);
@@ -117,11 +117,11 @@
     assert_eq!(node.level("k"), Level::Pending(3));
 }
 
-fn broken(name: &str, life: u64, at: Millis) -> Interruption {
+fn interruption(name: &str, incarnation: u64, at: Millis) -> Interruption {
     Interruption {
         row: row(name, &[1]),
         runner: "r-1".parse().unwrap(),
-        incarnation: Some(Incarnation(life)),
+        incarnation: Some(Incarnation(incarnation)),
         address: "10.0.0.1:80".parse().unwrap(),
         at,
     }
@@ -131,20 +131,20 @@
 fn a_later_life_or_another_runner_at_the_address_tells_that_a_runner_has_ended() {
     let (runner, other): (id::Runner, id::Runner) = ("r-1".parse().unwrap(), "r-2".parse().unwrap());
     let address = "10.0.0.1:80".parse().unwrap();
-    let mut breaks = Interruptions::default();
-    breaks.record(broken("a", 5, NOW));
-    assert!(breaks.take_earlier(&runner, Incarnation(5), NOW).is_empty(), "it lives on");
-    assert!(breaks.take_earlier(&other, Incarnation(9), NOW).is_empty());
-    assert!(breaks.take_replaced(&runner, address, NOW).is_empty(), "it is that runner itself");
-    assert_eq!(breaks.take_earlier(&runner, Incarnation(6), NOW), [row("a", &[1])]);
-    assert!(breaks.take_earlier(&runner, Incarnation(7), NOW).is_empty(), "each counts once");
-    breaks.record(broken("b", 6, NOW));
-    assert_eq!(breaks.take_replaced(&other, address, NOW), [row("b", &[1])]);
+    let mut interruptions = Interruptions::default();
+    interruptions.record(interruption("a", 5, NOW));
+    assert!(interruptions.take_earlier(&runner, Incarnation(5), NOW).is_empty(), "it lives on");
+    assert!(interruptions.take_earlier(&other, Incarnation(9), NOW).is_empty());
+    assert!(interruptions.take_replaced(&runner, address, NOW).is_empty(), "it is that runner itself");
+    assert_eq!(interruptions.take_earlier(&runner, Incarnation(6), NOW), [row("a", &[1])]);
+    assert!(interruptions.take_earlier(&runner, Incarnation(7), NOW).is_empty(), "each counts once");
+    interruptions.record(interruption("b", 6, NOW));
+    assert_eq!(interruptions.take_replaced(&other, address, NOW), [row("b", &[1])]);
     // One that was asked in that life and has ended since.
-    breaks.record(broken("d", 6, NOW));
-    assert!(breaks.take_crashed(&runner, Some(Incarnation(5)), NOW).is_empty());
-    assert_eq!(breaks.take_crashed(&runner, Some(Incarnation(6)), NOW), [row("d", &[1])]);
+    interruptions.record(interruption("d", 6, NOW));
+    assert!(interruptions.take_crashed(&runner, Some(Incarnation(5)), NOW).is_empty());
+    assert_eq!(interruptions.take_crashed(&runner, Some(Incarnation(6)), NOW), [row("d", &[1])]);
     // A runner that ends much later did not end under it.
-    breaks.record(broken("c", 6, NOW));
-    assert!(breaks.take_earlier(&runner, Incarnation(7), NOW + INTERRUPTION_TTL).is_empty());
+    interruptions.record(interruption("c", 6, NOW));
+    assert!(interruptions.take_earlier(&runner, Incarnation(7), NOW + INTERRUPTION_TTL).is_empty());
 }
--- a/crates/fleet/tests/occupancy.rs
+++ b/crates/fleet/tests/occupancy.rs
@@ -54,19 +54,19 @@
     }
 }
 
-fn view(rows: &[(u64, u32)], asked: Millis) -> FleetLoad {
-    let mut view = FleetLoad::default();
-    view.update(sum(1, rows), 2, asked);
-    view
+fn fleet_load(rows: &[(u64, u32)], asked: Millis) -> FleetLoad {
+    let mut fleet_load = FleetLoad::default();
+    fleet_load.update(sum(1, rows), 2, asked);
+    fleet_load
 }
 
 /// How often each of the runners is picked in a thousand picks.
-fn pick_often(heads: &[Runner], ledger: &Ledger, view: &FleetLoad, now: Millis) -> Vec<usize> {
+fn count_picks(heads: &[Runner], ledger: &Ledger, fleet_load: &FleetLoad, now: Millis) -> Vec<usize> {
     let candidates: Vec<&Runner> = heads.iter().collect();
     let mut rng = SmallRng::seed_from_u64(7);
     let mut picked = vec![0; heads.len()];
     for _ in 0..1000 {
-        let chosen = pick(&candidates, &[], ledger, view, now, &mut rng).unwrap();
+        let chosen = pick(&candidates, &[], ledger, fleet_load, now, &mut rng).unwrap();
         picked[heads.iter().position(|head| head.id == chosen.id).unwrap()] += 1;
     }
     picked
@@ -76,7 +76,7 @@
 fn a_group_that_other_nodes_have_filled_is_not_picked() {
     let heads: Vec<Runner> = (0..3).map(head).collect();
     let now = Millis(1000);
-    let picked = pick_often(&heads, &Ledger::default(), &view(&[(0, SLOTS), (1, 8)], now), now);
+    let picked = count_picks(&heads, &Ledger::default(), &fleet_load(&[(0, SLOTS), (1, 8)], now), now);
     assert_eq!(picked[0], 0, "it has no slot left: {picked:?}");
     assert!(picked[1] > 200 && picked[1] < 500, "it has half of the room of an idle one: {picked:?}");
 }
@@ -86,22 +86,22 @@
     let heads: Vec<Runner> = (0..3).map(head).collect();
     let now = Millis(1000);
     let mut ledger = Ledger::default();
-    let picked = pick_often(&heads, &ledger, &view(&[(0, 5)], now), now);
+    let picked = count_picks(&heads, &ledger, &fleet_load(&[(0, 5)], now), now);
     assert!(picked.iter().all(|count| *count > 280), "half full is as good as idle: {picked:?}");
     ledger.begin_request(&heads[2].id);
-    let picked = pick_often(&heads, &ledger, &view(&[(0, 5)], now), now);
+    let picked = count_picks(&heads, &ledger, &fleet_load(&[(0, 5)], now), now);
     assert_eq!(picked[2], 0, "this node has one there already: {picked:?}");
 }
 
 #[test]
 fn an_old_view_counts_for_nothing() {
     let heads: Vec<Runner> = (0..2).map(head).collect();
-    let old = view(&[(0, SLOTS)], Millis(1000));
+    let expired = fleet_load(&[(0, SLOTS)], Millis(1000));
     let now = Millis(1000) + REPORT_TTL;
-    let picked = pick_often(&heads, &Ledger::default(), &old, now);
+    let picked = count_picks(&heads, &Ledger::default(), &expired, now);
     assert!(picked[0] > 400, "what was full long ago is picked like the other one: {picked:?}");
     let candidates: Vec<&Runner> = heads.iter().collect();
-    assert_eq!(has_room(&candidates, &Ledger::default(), &old, now), None);
+    assert_eq!(has_room(&candidates, &Ledger::default(), &expired, now), None);
 }
 
 #[test]
@@ -109,7 +109,8 @@
     let heads: Vec<Runner> = (0..2).map(head).collect();
     let candidates: Vec<&Runner> = heads.iter().collect();
     let now = Millis(1000);
-    let room = |rows: &[(u64, u32)], ledger: &Ledger| has_room(&candidates, ledger, &view(rows, now), now);
+    let room =
+        |rows: &[(u64, u32)], ledger: &Ledger| has_room(&candidates, ledger, &fleet_load(rows, now), now);
     let mut ledger = Ledger::default();
     assert_eq!(room(&[(0, 10), (1, 7)], &ledger), Some(true));
     assert_eq!(room(&[(0, 10), (1, 8)], &ledger), Some(false));
@@ -147,48 +148,48 @@
 
 #[test]
 fn a_part_is_taken_off_a_sum_and_never_more_than_there_is() {
-    let mut whole = sum(3, &[(1, 5), (2, 1)]);
-    whole.subtract(&sum(1, &[(1, 2), (2, 3), (3, 1)]));
-    assert_eq!(whole, sum(2, &[(1, 3), (2, 0)]));
+    let mut total = sum(3, &[(1, 5), (2, 1)]);
+    total.subtract(&sum(1, &[(1, 2), (2, 3), (3, 1)]));
+    assert_eq!(total, sum(2, &[(1, 3), (2, 0)]));
 }
 
 #[test]
 fn a_view_of_few_nodes_is_not_used() {
     let now = Millis(1000);
-    let mut view = FleetLoad::default();
-    assert!(!view.is_usable(now), "nothing was told yet");
-    view.update(sum(4, &[]), 10, now);
-    assert!(view.is_usable(now), "five nodes of ten, this one included");
-    view.update(sum(3, &[]), 10, now);
-    assert!(!view.is_usable(now), "four of ten: a hall that is cut off");
-    view.update(InFlight::default(), 1, now);
-    assert!(view.is_usable(now), "the only node knows all");
+    let mut fleet_load = FleetLoad::default();
+    assert!(!fleet_load.is_usable(now), "nothing was told yet");
+    fleet_load.update(sum(4, &[]), 10, now);
+    assert!(fleet_load.is_usable(now), "five nodes of ten, this one included");
+    fleet_load.update(sum(3, &[]), 10, now);
+    assert!(!fleet_load.is_usable(now), "four of ten: a hall that is cut off");
+    fleet_load.update(InFlight::default(), 1, now);
+    assert!(fleet_load.is_usable(now), "the only node knows all");
 }
 
 #[test]
 fn runners_of_a_hall_that_cannot_be_reached_are_passed_over_for_a_while() {
-    let (here, there): (id::Hall, id::Hall) = ("hall-a".parse().unwrap(), "hall-b".parse().unwrap());
-    let away = |number| Runner { hall: there.clone(), ..head(number) };
-    let heads = vec![head(0), away(1), away(2), away(3)];
+    let (local, remote): (id::Hall, id::Hall) = ("hall-a".parse().unwrap(), "hall-b".parse().unwrap());
+    let remote_head = |number| Runner { hall: remote.clone(), ..head(number) };
+    let heads = vec![head(0), remote_head(1), remote_head(2), remote_head(3)];
     let now = Millis(1000);
-    let view = view(&[], now);
+    let fleet_load = fleet_load(&[], now);
     let mut ledger = Ledger::default();
-    ledger.record_connect_timeout(&there, now);
-    let picked = pick_often(&heads, &ledger, &view, now);
+    ledger.record_connect_timeout(&remote, now);
+    let picked = count_picks(&heads, &ledger, &fleet_load, now);
     assert!(picked[1] > 100, "one runner that is not reached may be lost: {picked:?}");
-    ledger.record_connect_timeout(&there, now);
-    let picked = pick_often(&heads, &ledger, &view, now);
+    ledger.record_connect_timeout(&remote, now);
+    let picked = count_picks(&heads, &ledger, &fleet_load, now);
     assert_eq!(picked[0], 1000, "the way there is cut: {picked:?}");
     let later = now + HALL_AVOID_TIME;
-    assert!(pick_often(&heads, &ledger, &view, later)[1] > 100, "then it is tried again");
-    ledger.record_connect_timeout(&there, later);
-    assert_eq!(pick_often(&heads, &ledger, &view, later)[0], 1000, "still cut");
-    ledger.record_connect(&there);
-    assert!(pick_often(&heads, &ledger, &view, later)[1] > 100);
+    assert!(count_picks(&heads, &ledger, &fleet_load, later)[1] > 100, "then it is tried again");
+    ledger.record_connect_timeout(&remote, later);
+    assert_eq!(count_picks(&heads, &ledger, &fleet_load, later)[0], 1000, "still cut");
+    ledger.record_connect(&remote);
+    assert!(count_picks(&heads, &ledger, &fleet_load, later)[1] > 100);
     // Where nothing else is left, those that were not reached are tried all the same.
-    ledger.record_connect_timeout(&here, later);
-    ledger.record_connect_timeout(&here, later);
-    assert_eq!(pick_often(&heads[..1], &ledger, &view, later), [1000]);
+    ledger.record_connect_timeout(&local, later);
+    ledger.record_connect_timeout(&local, later);
+    assert_eq!(count_picks(&heads[..1], &ledger, &fleet_load, later), [1000]);
 }
 
 #[test]
@@ -198,18 +199,18 @@
     let id = &heads[0].id;
     ledger.record_progress(id, now);
     let later = now + STALL_TIMEOUT;
-    let idle = view(&[], later);
-    assert!(pick_often(&heads, &ledger, &idle, later)[0] > 0, "no stream is under way there");
+    let idle = fleet_load(&[], later);
+    assert!(count_picks(&heads, &ledger, &idle, later)[0] > 0, "no stream is under way there");
     ledger.begin_stream(id);
-    assert!(pick_often(&heads, &ledger, &idle, later - Millis(1))[0] > 0, "it may be at a long pass");
-    assert_eq!(pick_often(&heads, &ledger, &idle, later)[0], 0);
+    assert!(count_picks(&heads, &ledger, &idle, later - Millis(1))[0] > 0, "it may be at a long pass");
+    assert_eq!(count_picks(&heads, &ledger, &idle, later)[0], 0);
     ledger.record_progress(id, later);
-    assert!(pick_often(&heads, &ledger, &idle, later)[0] > 0, "it gets on again");
+    assert!(count_picks(&heads, &ledger, &idle, later)[0] > 0, "it gets on again");
     ledger.end_stream(id);
-    assert!(pick_often(&heads, &ledger, &idle, later + STALL_TIMEOUT)[0] > 0);
+    assert!(count_picks(&heads, &ledger, &idle, later + STALL_TIMEOUT)[0] > 0);
     // If all are stalled, any is better than none.
     for head in &heads {
         ledger.begin_stream(&head.id);
     }
-    assert!(pick_often(&heads, &ledger, &idle, later + STALL_TIMEOUT)[0] > 0);
+    assert!(count_picks(&heads, &ledger, &idle, later + STALL_TIMEOUT)[0] > 0);
 }
--- a/crates/fleet/tests/presence.rs
+++ b/crates/fleet/tests/presence.rs
@@ -12,7 +12,7 @@
 use cottoncrank_fleet::presence::{ABSENCE_TIMEOUT, MASS_ABSENCE_TIMEOUT, Presence};
 
 const HALLS: usize = 5;
-const LOOK: Millis = Millis(1000);
+const CHECK_INTERVAL: Millis = Millis(1000);
 
 fn name(hall: usize, number: usize) -> id::Node {
     format!("n{hall}-{number}").parse().unwrap()
@@ -27,7 +27,7 @@
     directory: Directory,
     dead: BTreeSet<id::Node>,
     /// Halls whose collectors hear of nobody, and of which nobody hears.
-    cut: BTreeSet<usize>,
+    partitioned: BTreeSet<usize>,
     collectors: Vec<Presence>,
     per_hall: usize,
     now: Millis,
@@ -50,8 +50,8 @@
             }
         }
         let collectors = vec![Presence::default(); HALLS];
-        let (dead, cut) = (BTreeSet::new(), BTreeSet::new());
-        Fleet { directory, dead, cut, collectors, per_hall, now: Millis(1), removed: 0 }
+        let (dead, partitioned) = (BTreeSet::new(), BTreeSet::new());
+        Fleet { directory, dead, partitioned, collectors, per_hall, now: Millis(1), removed: 0 }
     }
 
     fn kill(&mut self, at: usize, numbers: std::ops::Range<usize>) {
@@ -62,26 +62,26 @@
     fn run(&mut self, span: Millis) {
         let end = self.now + span;
         while self.now < end {
-            self.now = self.now + LOOK;
+            self.now = self.now + CHECK_INTERVAL;
             for at in 0..HALLS {
-                self.look(at);
+                self.check(at);
             }
         }
     }
 
-    fn look(&mut self, at: usize) {
+    fn check(&mut self, at: usize) {
         let me = name(at, 0);
         if self.dead.contains(&me) {
             return;
         }
         let collector = &mut self.collectors[at];
         collector.start_collecting();
-        if !self.cut.contains(&at) {
-            let living = (1..self.per_hall).map(|number| name(at, number));
-            for node in living.filter(|node| !self.dead.contains(node)) {
+        if !self.partitioned.contains(&at) {
+            let alive = (1..self.per_hall).map(|number| name(at, number));
+            for node in alive.filter(|node| !self.dead.contains(node)) {
                 collector.record_report(&node, self.now);
             }
-            let others = (0..HALLS).filter(|other| *other != at && !self.cut.contains(other));
+            let others = (0..HALLS).filter(|other| *other != at && !self.partitioned.contains(other));
             for other in others.filter(|other| !self.dead.contains(&name(*other, 0))) {
                 collector.record_hall_report(&hall(other), self.now);
             }
@@ -111,9 +111,9 @@
     let mut fleet = Fleet::new(985);
     fleet.run(Millis(60_000));
     fleet.kill(1, 3..17);
-    fleet.run(ABSENCE_TIMEOUT - LOOK);
+    fleet.run(ABSENCE_TIMEOUT - CHECK_INTERVAL);
     assert_eq!(fleet.removed, 0, "a box that starts again is away for seconds");
-    fleet.run(LOOK + LOOK);
+    fleet.run(CHECK_INTERVAL + CHECK_INTERVAL);
     assert_eq!(fleet.removed, 14);
     assert!(!fleet.knows(1, 3) && !fleet.knows(1, 16) && fleet.knows(1, 17));
     fleet.run(Millis(300_000));
@@ -124,10 +124,10 @@
 fn a_collector_that_is_cut_off_removes_nobody_soon() {
     let mut fleet = Fleet::new(985);
     fleet.run(Millis(60_000));
-    fleet.cut.insert(2);
-    fleet.run(MASS_ABSENCE_TIMEOUT - LOOK);
+    fleet.partitioned.insert(2);
+    fleet.run(MASS_ABSENCE_TIMEOUT - CHECK_INTERVAL);
     assert_eq!(fleet.removed, 0, "it hears of none of the others, and they of none of its hall");
-    fleet.cut.clear();
+    fleet.partitioned.clear();
     fleet.run(Millis(300_000));
     assert_eq!(fleet.removed, 0);
 }
@@ -138,9 +138,9 @@
     fleet.run(Millis(60_000));
     fleet.kill(0, 0..197);
     fleet.kill(3, 1..150);
-    fleet.run(MASS_ABSENCE_TIMEOUT - LOOK);
+    fleet.run(MASS_ABSENCE_TIMEOUT - CHECK_INTERVAL);
     assert_eq!(fleet.removed, 0, "most of two halls are not heard of");
-    fleet.run(LOOK + LOOK);
+    fleet.run(CHECK_INTERVAL + CHECK_INTERVAL);
     assert_eq!(fleet.removed, 197 + 149);
     assert!(fleet.knows(3, 0) && fleet.knows(3, 150) && !fleet.knows(0, 0));
 }
@@ -150,7 +150,7 @@
     let mut fleet = Fleet::new(90);
     fleet.run(Millis(60_000));
     fleet.kill(1, 3..5);
-    fleet.run(ABSENCE_TIMEOUT - LOOK);
+    fleet.run(ABSENCE_TIMEOUT - CHECK_INTERVAL);
     // Another node of the hall answers it, and was heard by the others meanwhile.
     fleet.collectors[1].stop_collecting();
     let gone =
--- a/crates/fleet/tests/refusals.rs
+++ b/crates/fleet/tests/rejections.rs
@@ -20,7 +20,7 @@
 
 /// A fleet in which the head of a group turns requests away, with so many in flight there. All
 /// others are half full.
-fn refusing(group: &Group, running: u32) -> World {
+fn rejecting(group: &Group, running: u32) -> World {
     let mut world = at_rest(6);
     world.refusing = [group.members[0].clone()].into();
     let mut in_flight: Counts = world.groups().map(|other| (other.epoch, 5)).collect();
@@ -30,7 +30,7 @@
 }
 
 /// The group that a runner is in.
-fn find_of(world: &World, runner: &id::Runner) -> Option<Group> {
+fn find_group_of(world: &World, runner: &id::Runner) -> Option<Group> {
     world.groups().find(|group| group.members.contains(runner) && !group.is_retired()).cloned()
 }
 
@@ -38,7 +38,7 @@
 fn another_runner_becomes_the_head_of_a_group_that_is_turned_away() {
     for model in ["large", "small"] {
         let group = at_rest(6).find(model);
-        let mut world = refusing(&group, 1);
+        let mut world = rejecting(&group, 1);
         let before: Vec<Group> = world.groups().cloned().collect();
         world.run(10);
         let is_new = |known: &&Group| known.model == group.model && !before.contains(known);
@@ -51,22 +51,22 @@
 #[test]
 fn a_group_that_is_full_keeps_its_head() {
     let group = at_rest(6).find("large");
-    let mut world = refusing(&group, 10);
+    let mut world = rejecting(&group, 10);
     world.run(10);
-    assert_eq!(find_of(&world, &group.members[0]).map(|known| known.epoch), Some(group.epoch));
+    assert_eq!(find_group_of(&world, &group.members[0]).map(|known| known.epoch), Some(group.epoch));
     // Neither is it closed where nobody knows what is in flight.
     world.in_flight = None;
     world.run(10);
-    assert_eq!(find_of(&world, &group.members[0]).map(|known| known.epoch), Some(group.epoch));
+    assert_eq!(find_group_of(&world, &group.members[0]).map(|known| known.epoch), Some(group.epoch));
 }
 
 #[test]
 fn a_group_whose_members_all_turn_requests_away_is_left_alone() {
     let group = at_rest(6).find("small");
-    let mut world = refusing(&group, 0);
+    let mut world = rejecting(&group, 0);
     world.refusing = world.roster.iter().map(|runner| runner.id.clone()).collect::<BTreeSet<_>>();
     world.run(20);
-    assert_eq!(find_of(&world, &group.members[0]).map(|known| known.epoch), Some(group.epoch));
+    assert_eq!(find_group_of(&world, &group.members[0]).map(|known| known.epoch), Some(group.epoch));
 }
 
 #[test]
--- a/crates/fleet/tests/restarts.rs
+++ b/crates/fleet/tests/restarts.rs
@@ -10,7 +10,7 @@
 use world::{World, engine, model};
 
 /// How long processes are down: at once, within two questions, until their group is given up.
-const DOWN: [Millis; 3] = [Millis(0), Millis(300), Millis(3000)];
+const DOWNTIMES: [Millis; 3] = [Millis(0), Millis(300), Millis(3000)];
 
 fn fleet(seed: u64) -> World {
     let models: Vec<Model> = vec![model("large", 4, 0.5, 16_000, 1600), model("small", 2, 0.5, 12_000, 1100)];
@@ -30,7 +30,7 @@
         world.unwritten = Millis(1200);
         world.late = if seed % 2 == 0 { 0.3 } else { 0.0 };
         for _ in 0..60 {
-            world.restart_one(rng.random_bool(0.8), DOWN[rng.random_range(0..DOWN.len())]);
+            world.restart_one(rng.random_bool(0.8), DOWNTIMES[rng.random_range(0..DOWNTIMES.len())]);
             if rng.random_bool(0.1) {
                 world.replace_decider();
             }
--- a/crates/fleet/tests/retries.rs
+++ b/crates/fleet/tests/retries.rs
@@ -21,7 +21,7 @@
 
 /// What befalls a fleet while it wants retries.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Trouble {
+enum Fault {
     None,
     /// The collector of hall 0 is lost, and another node collects from then on.
     CollectorLost,
@@ -33,53 +33,53 @@
 struct Outcome {
     made: usize,
     wanted: usize,
-    most_over: f64,
+    max_excess: f64,
 }
 
 /// `nodes` that each want `per_second` retries a second for `span`, while each has one request
 /// in two seconds.
-fn play(nodes: usize, per_second: f64, span: Millis, trouble: Trouble) -> Outcome {
+fn simulate(nodes: usize, per_second: f64, duration: Millis, fault: Fault) -> Outcome {
     let share = Share::of(SLACK, nodes);
-    let mut own: Vec<Budget> =
+    let mut budgets: Vec<Budget> =
         (0..nodes).map(|_| Budget::new(RATIO * share.budget_fraction(), share.budget)).collect();
     // Two collectors a hall: the second one collects only in trouble.
     let mut pools = vec![[Pool::default(), Pool::default()]; HALLS];
     let begin = Millis(25_000);
-    let end = begin + span;
-    let mut debt = vec![0.0; nodes];
+    let end = begin + duration;
+    let mut demand = vec![0.0; nodes];
     let (mut made, mut requests): (VecDeque<Millis>, VecDeque<Millis>) = Default::default();
-    let mut outcome = Outcome { made: 0, wanted: 0, most_over: f64::MIN };
+    let mut outcome = Outcome { made: 0, wanted: 0, max_excess: f64::MIN };
     let mut now = Millis(1);
     while now < end {
-        let troubled = now >= begin + Millis(2000);
-        let place = |node: usize| match (trouble, node % HALLS) {
-            (Trouble::CollectorLost, 0) if troubled => 1,
-            (Trouble::Split, 0) if troubled && (node / HALLS).is_multiple_of(2) => 1,
+        let has_fault = now >= begin + Millis(2000);
+        let collector_of = |node: usize| match (fault, node % HALLS) {
+            (Fault::CollectorLost, 0) if has_fault => 1,
+            (Fault::Split, 0) if has_fault && (node / HALLS).is_multiple_of(2) => 1,
             _ => 0,
         };
-        let mut told = [[0; 2]; HALLS];
-        (0..nodes).for_each(|node| told[node % HALLS][place(node)] += 1);
-        for (pool, told) in pools.iter_mut().flatten().zip(told.into_iter().flatten()) {
-            match told {
+        let mut reporting = [[0; 2]; HALLS];
+        (0..nodes).for_each(|node| reporting[node % HALLS][collector_of(node)] += 1);
+        for (pool, reporting) in pools.iter_mut().flatten().zip(reporting.into_iter().flatten()) {
+            match reporting {
                 0 => pool.reset(),
-                _ => pool.set_capacity(share.pooled * f64::from(told), WINDOW, now),
+                _ => pool.set_capacity(share.pooled * f64::from(reporting), WINDOW, now),
             }
         }
         for node in 0..nodes {
-            let pool = &mut pools[node % HALLS][place(node)];
+            let pool = &mut pools[node % HALLS][collector_of(node)];
             if (now.0 / TICK.0) as usize % 40 == node % 40 {
-                own[node].deposit();
+                budgets[node].deposit();
                 pool.deposit(RATIO * (1.0 - share.budget_fraction()));
                 requests.push_back(now);
             }
             if now < begin {
                 continue;
             }
-            debt[node] += per_second * TICK.0 as f64 / 1000.0;
-            while debt[node] >= 1.0 {
-                debt[node] -= 1.0;
+            demand[node] += per_second * TICK.0 as f64 / 1000.0;
+            while demand[node] >= 1.0 {
+                demand[node] -= 1.0;
                 outcome.wanted += 1;
-                if own[node].withdraw() || pool.grant() {
+                if budgets[node].withdraw() || pool.grant() {
                     outcome.made += 1;
                     made.push_back(now);
                 }
@@ -87,7 +87,7 @@
         }
         made.retain(|at| now < *at + WINDOW);
         requests.retain(|at| now < *at + WINDOW);
-        outcome.most_over = outcome.most_over.max(made.len() as f64 - RATIO * requests.len() as f64);
+        outcome.max_excess = outcome.max_excess.max(made.len() as f64 - RATIO * requests.len() as f64);
         now = now + TICK;
     }
     outcome
@@ -96,7 +96,7 @@
 #[test]
 fn a_fleet_of_any_size_uses_the_retries_that_it_may_make() {
     for nodes in [10, 300, 410, 830, 985, 1970] {
-        let outcome = play(nodes, 600.0 / nodes as f64, Millis(40_000), Trouble::None);
+        let outcome = simulate(nodes, 600.0 / nodes as f64, Millis(40_000), Fault::None);
         let allowed = SLACK + RATIO * (nodes as f64 / 2.0) * 40.0;
         let used = outcome.made as f64 / allowed.min(outcome.wanted as f64);
         assert!(
@@ -110,14 +110,14 @@
 
 #[test]
 fn it_never_makes_more_whichever_collector_lends() {
-    for trouble in [Trouble::None, Trouble::CollectorLost, Trouble::Split] {
+    for fault in [Fault::None, Fault::CollectorLost, Fault::Split] {
         for nodes in [90, 830, 985, 1970] {
             for per_second in [600.0, 20_000.0] {
-                let outcome = play(nodes, per_second / nodes as f64, Millis(15_000), trouble);
+                let outcome = simulate(nodes, per_second / nodes as f64, Millis(15_000), fault);
                 assert!(
-                    outcome.most_over <= SLACK / 0.8,
-                    "{nodes} nodes, {trouble:?}: {:.0} beyond what requests pay for",
-                    outcome.most_over
+                    outcome.max_excess <= SLACK / 0.8,
+                    "{nodes} nodes, {fault:?}: {:.0} beyond what requests pay for",
+                    outcome.max_excess
                 );
             }
         }
@@ -127,15 +127,15 @@
 #[test]
 fn what_few_nodes_want_is_not_divided_evenly() {
     // One node in fifty meets a runner that fails.
-    let mut lent = 0;
+    let mut granted = 0;
     let share = Share::of(SLACK, 985);
     let mut pool = Pool::default();
     pool.set_capacity(share.pooled * 197.0, WINDOW, Millis(0));
     pool.set_capacity(share.pooled * 197.0, WINDOW, WINDOW);
     for _ in 0..4 {
-        lent += (0..40).filter(|_| pool.grant()).count();
+        granted += (0..40).filter(|_| pool.grant()).count();
     }
-    assert_eq!(lent, 160, "a hall of 197 nodes has 166, and each of four nodes wants forty");
+    assert_eq!(granted, 160, "a hall of 197 nodes has 166, and each of four nodes wants forty");
 }
 
 #[test]
--- a/crates/fleet/tests/source.rs
+++ b/crates/fleet/tests/source.rs
@@ -7,10 +7,10 @@
 use rand::rngs::SmallRng;
 
 /// How long a question to the store takes that is refused, and one to a node.
-const CALL: Millis = Millis(4);
+const CALL_TIME: Millis = Millis(4);
 
 /// How long a question waits where there is nothing new.
-const WATCH: Millis = Millis(700);
+const LONG_POLL: Millis = Millis(700);
 
 /// Within how long a configuration must be in force.
 const BOUND: Millis = Millis(4000);
@@ -46,24 +46,24 @@
     /// When it looks for a source again.
     next: Millis,
     /// When the store surely held nothing newer.
-    proven: Millis,
+    proof: Millis,
 }
 
 /// A fleet whose store is away from `down` to `up`. Returns the calls to it meanwhile, and
 /// how long after its return the last node has a proof again.
-fn ride_out(halls: usize, nodes: usize, down: Millis, up: Millis) -> (usize, Millis) {
+fn simulate_outage(halls: usize, nodes: usize, down: Millis, up: Millis) -> (usize, Millis) {
     let directory = directory(halls, nodes);
     let mut rng = SmallRng::seed_from_u64(3);
     let mut followers: Vec<Follower> = Vec::new();
     for hall in 0..halls {
         for number in 0..nodes {
             let peer = peer(hall, number, 120);
-            let next = Millis((number as u64 * 37) % WATCH.0);
-            followers.push(Follower { peer, sources: Sources::new(BOUND), next, proven: Millis(0) });
+            let next = Millis((number as u64 * 37) % LONG_POLL.0);
+            followers.push(Follower { peer, sources: Sources::new(BOUND), next, proof: Millis(0) });
         }
     }
     let (mut calls, mut now) = (0, Millis(0));
-    let away = |now: Millis| now >= down && now < up;
+    let is_down = |now: Millis| now >= down && now < up;
     while now < up + Millis(20_000) {
         for at in 0..followers.len() {
             if now < followers[at].next {
@@ -72,37 +72,38 @@
             let Peer { node, hall, .. } = followers[at].peer.clone();
             let source = followers[at].sources.pick(&node, &hall, None, &directory, now, &mut rng);
             let from_store = source == Source::Store;
-            let (proven, wait) = match source {
-                Source::Store if away(now) => {
+            let (proof, wait) = match source {
+                Source::Store if is_down(now) => {
                     calls += 1;
                     let sources = &mut followers[at].sources;
                     sources.record_store_failure(&node, &hall, false, &directory, now, &mut rng);
-                    (None, CALL)
+                    (None, CALL_TIME)
                 }
-                Source::Store => (Some(now), WATCH),
-                Source::Reader(asked) | Source::Upstream(asked) => {
-                    let held = followers.iter().find(|other| other.peer.node == asked.node).unwrap().proven;
+                Source::Store => (Some(now), LONG_POLL),
+                Source::Reader(queried) | Source::Upstream(queried) => {
+                    let their_proof =
+                        followers.iter().find(|other| other.peer.node == queried.node).unwrap().proof;
                     // A node without a proof sends those that ask it away.
-                    if away(now) || held + Millis(1500) < now {
-                        followers[at].sources.record_failure(asked.node, Failure::Stale, now);
-                        (None, CALL)
+                    if is_down(now) || their_proof + Millis(1500) < now {
+                        followers[at].sources.record_failure(queried.node, Failure::Stale, now);
+                        (None, CALL_TIME)
                     } else {
-                        (Some(held), WATCH)
+                        (Some(their_proof), LONG_POLL)
                     }
                 }
-                Source::Wait(pause) => (None, pause.max(CALL)),
+                Source::Wait(pause) => (None, pause.max(CALL_TIME)),
             };
-            if let Some(proven) = proven {
+            if let Some(proof) = proof {
                 match from_store {
                     true => followers[at].sources.record_store_answer(now),
-                    false => followers[at].sources.record_answer(proven, now),
+                    false => followers[at].sources.record_answer(proof, now),
                 }
-                followers[at].proven = proven;
+                followers[at].proof = proof;
             }
             followers[at].next = now + wait;
         }
         now = now + Millis(1);
-        if now > up && followers.iter().all(|follower| follower.proven >= up) {
+        if now > up && followers.iter().all(|follower| follower.proof >= up) {
             break;
         }
     }
@@ -111,18 +112,18 @@
 
 #[test]
 fn the_calls_of_an_outage_hardly_grow_with_the_fleet() {
-    let (few, _) = ride_out(3, 3, Millis(3000), Millis(11_000));
-    let (many, _) = ride_out(5, 60, Millis(3000), Millis(11_000));
+    let (calls_small, _) = simulate_outage(3, 3, Millis(3000), Millis(11_000));
+    let (calls_large, _) = simulate_outage(5, 60, Millis(3000), Millis(11_000));
     // Three hundred nodes that each pause for 0.2 to 0.4 s make eight thousand calls.
-    assert!(many <= 800, "{many} calls of 300 nodes");
-    assert!(many <= 10 * few, "{many} calls of 300 nodes, {few} of nine");
+    assert!(calls_large <= 800, "{calls_large} calls of 300 nodes");
+    assert!(calls_large <= 10 * calls_small, "{calls_large} calls of 300 nodes, {calls_small} of nine");
 }
 
 #[test]
 fn all_nodes_have_a_proof_soon_after_the_store_is_back() {
     for (halls, nodes) in [(3, 3), (5, 14), (5, 60)] {
-        let (_, late) = ride_out(halls, nodes, Millis(3000), Millis(11_000));
-        assert!(late <= Millis(3500), "{halls} halls of {nodes}: the last one after {late}");
+        let (_, delay) = simulate_outage(halls, nodes, Millis(3000), Millis(11_000));
+        assert!(delay <= Millis(3500), "{halls} halls of {nodes}: the last one after {delay}");
     }
 }
 
@@ -182,7 +183,7 @@
 /// A store that turns the boxes of one hall away and serves all others: how old what the
 /// nodes of that hall know becomes, but for those that are turned away. The readers of the
 /// hall are; the others are not, as far as `served` says.
-fn turn_away(served: impl Fn(&Peer) -> bool) -> Millis {
+fn simulate_rejection(served: impl Fn(&Peer) -> bool) -> Millis {
     let directory = directory(3, 23);
     let hall: id::Hall = "hall-0".parse().unwrap();
     let readers: Vec<id::Node> =
@@ -195,26 +196,26 @@
         if readers.contains(&me) {
             continue;
         }
-        let (mut sources, mut now, mut proven) = (Sources::new(BOUND), Millis(0), Millis(0));
+        let (mut sources, mut now, mut proof) = (Sources::new(BOUND), Millis(0), Millis(0));
         while now < Millis(20_000) {
             match sources.pick(&me, &hall, Some(&decider), &directory, now, &mut rng) {
-                Source::Reader(asked) | Source::Upstream(asked) if !served(&asked) => {
-                    sources.record_failure(asked.node, Failure::Stale, now);
-                    now = now + CALL;
+                Source::Reader(queried) | Source::Upstream(queried) if !served(&queried) => {
+                    sources.record_failure(queried.node, Failure::Stale, now);
+                    now = now + CALL_TIME;
                 }
                 Source::Reader(_) | Source::Upstream(_) => {
-                    proven = now;
+                    proof = now;
                     sources.record_answer(now, now);
-                    now = now + WATCH;
+                    now = now + LONG_POLL;
                 }
                 Source::Store => {
-                    proven = now;
+                    proof = now;
                     sources.record_store_answer(now);
-                    now = now + WATCH;
+                    now = now + LONG_POLL;
                 }
                 Source::Wait(pause) => now = now + pause.max(Millis(1)),
             }
-            oldest = oldest.max(now.since(proven));
+            oldest = oldest.max(now.since(proof));
         }
     }
     oldest
@@ -223,17 +224,17 @@
 #[test]
 fn nodes_whose_readers_are_turned_away_learn_from_other_halls() {
     let hall: id::Hall = "hall-0".parse().unwrap();
-    let oldest = turn_away(|peer| peer.hall != hall);
+    let oldest = simulate_rejection(|peer| peer.hall != hall);
     assert!(oldest < Millis(1500), "what a node knows became {oldest} old");
 }
 
 #[test]
 fn nodes_that_the_store_serves_go_on_asking_it_where_no_other_node_knows() {
     // Each finds out at its own time, so that an outage does not make all of them call.
-    let mut oldest = turn_away(|_| false);
+    let mut oldest = simulate_rejection(|_| false);
     assert!(oldest < Millis(4500), "what a node knows became {oldest} old");
     // Who has found out does not wait again.
-    oldest = turn_away(|peer| peer.node.as_str() == "n1-0");
+    oldest = simulate_rejection(|peer| peer.node.as_str() == "n1-0");
     assert!(oldest < Millis(1500), "what a node knows became {oldest} old");
 }
 
--- a/crates/fleet/tests/survivors.rs
+++ b/crates/fleet/tests/survivors.rs
@@ -14,35 +14,35 @@
 use rand::{Rng, SeedableRng};
 
 /// How long a watch of the store, or a question to a node, waits for a change.
-const WAIT: Millis = Millis(700);
+const LONG_POLL: Millis = Millis(700);
 
 /// How long a refused call or question takes.
-const REFUSED: Millis = Millis(4);
+const REJECTION_TIME: Millis = Millis(4);
 
 /// How long a node gathers changes before it asks again.
-const GATHER: Millis = Millis(150);
+const GATHER_TIME: Millis = Millis(150);
 
 /// How often something changes in the store.
-const CHANGE: Millis = Millis(100);
+const CHANGE_INTERVAL: Millis = Millis(100);
 
 /// From when to when the store turns some boxes away.
-const AWAY: (Millis, Millis) = (Millis(1000), Millis(12_000));
+const OUTAGE: (Millis, Millis) = (Millis(1000), Millis(12_000));
 
 /// From when to when the processes that end are gone.
-const GONE: (Millis, Millis) = (Millis(2000), Millis(2300));
+const DOWNTIME: (Millis, Millis) = (Millis(2000), Millis(2300));
 
 /// How long a question takes to a box without power, which says nothing.
-const SILENT: Millis = Millis(1400);
+const CONNECT_TIMEOUT: Millis = Millis(1400);
 
 /// When the lease of the deciding node, which ended, is over, and when the next one decides.
-const LEASE_OVER: Millis = Millis(3500);
-const NEXT_DECIDES: Millis = Millis(4000);
+const LEASE_EXPIRY: Millis = Millis(3500);
+const NEXT_TERM: Millis = Millis(4000);
 
 /// What a node does.
 #[derive(Clone)]
-enum Work {
+enum Activity {
     Idle(Millis),
-    Asks { asked: usize, serves: bool, since: Millis },
+    Polls { queried: usize, serves: bool, since: Millis },
     Watches(Millis),
 }
 
@@ -50,13 +50,13 @@
     peer: Peer,
     sources: Sources,
     /// Whether the store turns it away, and whether its process ends.
-    turned_away: bool,
-    ends: bool,
+    store_rejects: bool,
+    restarts: bool,
     /// Up to when it knows all that was in the store; nothing if it has just started.
-    known: Option<Millis>,
+    last_contact: Option<Millis>,
     /// Whether it answers other nodes.
     serving: bool,
-    work: Work,
+    activity: Activity,
 }
 
 struct Fleet {
@@ -64,9 +64,9 @@
     directory: Directory,
     nodes: Vec<Node>,
     decider: usize,
-    next: usize,
+    successor: usize,
     /// Whether those that end lose power with their boxes.
-    silent: bool,
+    loses_power: bool,
     rng: SmallRng,
 }
 
@@ -87,35 +87,35 @@
                 nodes.push(Node {
                     peer,
                     sources: Sources::new(bound),
-                    turned_away: rng.random_bool(0.4),
-                    ends: rng.random_bool(0.6),
-                    known: Some(Millis(0)),
+                    store_rejects: rng.random_bool(0.4),
+                    restarts: rng.random_bool(0.6),
+                    last_contact: Some(Millis(0)),
                     serving: false,
-                    work: Work::Idle(Millis(rng.random_range(0..100))),
+                    activity: Activity::Idle(Millis(rng.random_range(0..100))),
                 });
             }
         }
-        let (decider, next) = (0, 1);
-        nodes[decider].ends = true;
-        nodes[decider].turned_away = false;
-        (nodes[next].ends, nodes[next].turned_away) = (false, false);
-        Fleet { bound, directory, nodes, decider, next, silent: false, rng }
+        let (decider, successor) = (0, 1);
+        nodes[decider].restarts = true;
+        nodes[decider].store_rejects = false;
+        (nodes[successor].restarts, nodes[successor].store_rejects) = (false, false);
+        Fleet { bound, directory, nodes, decider, successor, loses_power: false, rng }
     }
 
-    fn is_gone(&self, at: usize, now: Millis) -> bool {
-        self.nodes[at].ends && now >= GONE.0 && now < GONE.1
+    fn is_down(&self, at: usize, now: Millis) -> bool {
+        self.nodes[at].restarts && now >= DOWNTIME.0 && now < DOWNTIME.1
     }
 
-    fn is_refused(&self, at: usize, now: Millis) -> bool {
-        self.nodes[at].turned_away && now >= AWAY.0 && now < AWAY.1
+    fn is_rejected(&self, at: usize, now: Millis) -> bool {
+        self.nodes[at].store_rejects && now >= OUTAGE.0 && now < OUTAGE.1
     }
 
     /// Who decides, as far as a node that knows this much has heard.
-    fn decider(&self, known: Millis) -> Option<usize> {
-        match known {
-            known if known < LEASE_OVER => Some(self.decider),
-            known if known < NEXT_DECIDES => None,
-            _ => Some(self.next),
+    fn decider(&self, last_contact: Millis) -> Option<usize> {
+        match last_contact {
+            last_contact if last_contact < LEASE_EXPIRY => Some(self.decider),
+            last_contact if last_contact < NEXT_TERM => None,
+            _ => Some(self.successor),
         }
     }
 
@@ -124,12 +124,12 @@
     }
 
     fn pick(&mut self, at: usize, now: Millis) {
-        let known = self.nodes[at].known;
-        let decider = known.and_then(|known| self.decider(known));
+        let last_contact = self.nodes[at].last_contact;
+        let decider = last_contact.and_then(|last_contact| self.decider(last_contact));
         let decides = decider == Some(at);
         let decider = decider.map(|decider| self.nodes[decider].peer.node.clone());
         let node = &mut self.nodes[at];
-        let source = match known {
+        let source = match last_contact {
             None => start(&node.peer, &mut node.sources, &self.directory, now),
             Some(_) => pick(
                 &mut node.sources,
@@ -144,108 +144,110 @@
         if matches!(source, Source::Reader(_)) {
             self.nodes[at].serving = false;
         }
-        self.nodes[at].work = match source {
+        self.nodes[at].activity = match source {
             Source::Reader(ref peer) | Source::Upstream(ref peer) => {
                 let serves = matches!(source, Source::Upstream(_));
-                Work::Asks { asked: self.find(&peer.node), serves, since: now }
+                Activity::Polls { queried: self.find(&peer.node), serves, since: now }
             }
-            Source::Store => Work::Watches(now),
+            Source::Store => Activity::Watches(now),
             Source::Wait(pause) => {
                 self.nodes[at].serving = false;
-                Work::Idle(now + pause.max(Millis(1)))
+                Activity::Idle(now + pause.max(Millis(1)))
             }
         };
     }
 
-    fn fail(&mut self, at: usize, asked: usize, failure: Failure, now: Millis) {
-        let peer = self.nodes[asked].peer.node.clone();
+    fn fail(&mut self, at: usize, queried: usize, failure: Failure, now: Millis) {
+        let peer = self.nodes[queried].peer.node.clone();
         self.nodes[at].sources.record_failure(peer, failure, now);
-        self.nodes[at].work = Work::Idle(now);
+        self.nodes[at].activity = Activity::Idle(now);
     }
 
-    fn ask(&mut self, at: usize, asked: usize, serves: bool, since: Millis, now: Millis) {
-        if now < since + REFUSED {
+    fn poll(&mut self, at: usize, queried: usize, serves: bool, since: Millis, now: Millis) {
+        if now < since + REJECTION_TIME {
             return;
         }
-        let there = self.nodes[asked].known;
-        if self.is_gone(asked, now) && self.silent {
-            let patience = self.nodes[at].sources.query_timeout(serves, since);
-            let patience = patience.map_or(SILENT, |left| left.clamp(Millis(100), SILENT));
-            if now >= since + patience {
-                self.fail(at, asked, Failure::TimedOut, now);
+        let their_contact = self.nodes[queried].last_contact;
+        if self.is_down(queried, now) && self.loses_power {
+            let timeout = self.nodes[at].sources.query_timeout(serves, since);
+            let timeout =
+                timeout.map_or(CONNECT_TIMEOUT, |remaining| remaining.clamp(Millis(100), CONNECT_TIMEOUT));
+            if now >= since + timeout {
+                self.fail(at, queried, Failure::TimedOut, now);
             }
             return;
         }
-        if self.is_gone(asked, now) {
-            return self.fail(at, asked, Failure::Disconnected, now);
+        if self.is_down(queried, now) {
+            return self.fail(at, queried, Failure::Disconnected, now);
         }
-        let Some(there) = there.filter(|_| self.nodes[asked].serving) else {
-            return self.fail(at, asked, Failure::Stale, now);
+        let Some(their_contact) = their_contact.filter(|_| self.nodes[queried].serving) else {
+            return self.fail(at, queried, Failure::Stale, now);
         };
-        let fresh = self.nodes[at].known.is_none_or(|here| there > here);
-        if !fresh && now < since + WAIT {
+        let fresh = self.nodes[at].last_contact.is_none_or(|own_contact| their_contact > own_contact);
+        if !fresh && now < since + LONG_POLL {
             return;
         }
-        match self.nodes[at].sources.accepts(now.since(there)) {
+        match self.nodes[at].sources.accepts(now.since(their_contact)) {
             true => {
-                self.nodes[at].sources.record_answer(there, now);
-                self.learn(at, there, serves, now);
+                self.nodes[at].sources.record_answer(their_contact, now);
+                self.record_contact(at, their_contact, serves, now);
             }
-            false => self.fail(at, asked, Failure::Stale, now),
+            false => self.fail(at, queried, Failure::Stale, now),
         }
     }
 
     fn watch(&mut self, at: usize, since: Millis, now: Millis) {
-        if now < since + REFUSED {
+        if now < since + REJECTION_TIME {
             return;
         }
-        if self.is_refused(at, now) {
+        if self.is_rejected(at, now) {
             let Peer { node, hall, .. } = self.nodes[at].peer.clone();
-            let decides = self.nodes[at].known.and_then(|known| self.decider(known)) == Some(at);
+            let decides =
+                self.nodes[at].last_contact.and_then(|last_contact| self.decider(last_contact)) == Some(at);
             let (sources, rng) = (&mut self.nodes[at].sources, &mut self.rng);
             sources.record_store_failure(&node, &hall, decides, &self.directory, now, rng);
             self.nodes[at].serving = false;
-            self.nodes[at].work = Work::Idle(now);
-        } else if now.0.is_multiple_of(CHANGE.0) {
+            self.nodes[at].activity = Activity::Idle(now);
+        } else if now.0.is_multiple_of(CHANGE_INTERVAL.0) {
             self.nodes[at].sources.record_store_answer(now);
-            self.learn(at, now, true, now);
+            self.record_contact(at, now, true, now);
         }
     }
 
-    fn learn(&mut self, at: usize, known: Millis, serves: bool, now: Millis) {
+    fn record_contact(&mut self, at: usize, last_contact: Millis, serves: bool, now: Millis) {
         let node = &mut self.nodes[at];
-        node.known = node.known.max(Some(known));
+        node.last_contact = node.last_contact.max(Some(last_contact));
         node.serving = serves;
-        node.work = Work::Idle(now + GATHER);
+        node.activity = Activity::Idle(now + GATHER_TIME);
     }
 
     fn step(&mut self, at: usize, now: Millis) {
-        if self.is_gone(at, now) {
+        if self.is_down(at, now) {
             let node = &mut self.nodes[at];
-            (node.known, node.serving, node.sources) = (None, false, Sources::new(self.bound));
-            node.work = Work::Idle(GONE.1 + Millis(at as u64 % 40));
+            (node.last_contact, node.serving, node.sources) = (None, false, Sources::new(self.bound));
+            node.activity = Activity::Idle(DOWNTIME.1 + Millis(at as u64 % 40));
             return;
         }
-        match self.nodes[at].work {
-            Work::Idle(until) if now < until => {}
-            Work::Idle(_) => self.pick(at, now),
-            Work::Asks { asked, serves, since } => self.ask(at, asked, serves, since, now),
-            Work::Watches(since) => self.watch(at, since, now),
+        match self.nodes[at].activity {
+            Activity::Idle(until) if now < until => {}
+            Activity::Idle(_) => self.pick(at, now),
+            Activity::Polls { queried, serves, since } => self.poll(at, queried, serves, since, now),
+            Activity::Watches(since) => self.watch(at, since, now),
         }
     }
 
     /// How old what a node that lived knew became.
-    fn play(&mut self) -> Millis {
-        let mut oldest = Millis(0);
-        for now in (0..AWAY.1.0).map(Millis) {
+    fn simulate(&mut self) -> Millis {
+        let mut max_staleness = Millis(0);
+        for now in (0..OUTAGE.1.0).map(Millis) {
             for at in 0..self.nodes.len() {
                 self.step(at, now);
-                if !self.nodes[at].ends {
-                    oldest = oldest.max(now.since(self.nodes[at].known.unwrap()));
+                if !self.nodes[at].restarts {
+                    max_staleness = max_staleness.max(now.since(self.nodes[at].last_contact.unwrap()));
                 }
             }
         }
-        oldest
+        max_staleness
     }
 }
 
@@ -277,10 +279,10 @@
 fn those_that_live_through_a_restart_of_many_know_the_configuration_in_time() {
     for (halls, boxes, bound) in [(3, 3, 2000), (4, 23, 3000), (5, 60, 4000)] {
         for seed in 1..=4 {
-            let oldest = Fleet::new(halls, boxes, Millis(bound), seed).play();
+            let max_staleness = Fleet::new(halls, boxes, Millis(bound), seed).simulate();
             assert!(
-                oldest < Millis(bound),
-                "{halls} halls of {boxes}, seed {seed}: what a node knew became {oldest} old"
+                max_staleness < Millis(bound),
+                "{halls} halls of {boxes}, seed {seed}: what a node knew became {max_staleness} old"
             );
         }
     }
@@ -291,11 +293,11 @@
     for (halls, boxes, bound) in [(3, 3, 2000), (4, 23, 3000)] {
         for seed in 1..=8 {
             let mut fleet = Fleet::new(halls, boxes, Millis(bound), seed);
-            fleet.silent = true;
-            let oldest = fleet.play();
+            fleet.loses_power = true;
+            let max_staleness = fleet.simulate();
             assert!(
-                oldest < Millis(bound),
-                "{halls} halls of {boxes}, seed {seed}: what a node knew became {oldest} old"
+                max_staleness < Millis(bound),
+                "{halls} halls of {boxes}, seed {seed}: what a node knew became {max_staleness} old"
             );
         }
     }
--- a/crates/fleet/tests/suspects.rs
+++ b/crates/fleet/tests/suspects.rs
@@ -179,27 +179,27 @@
 #[test]
 fn single_nodes_are_told_of_what_ended_two_runners_and_collectors_of_all_that_is_new_here() {
     let mut table = table(&[row("a", &[1]), row("k", &[1, 2])]);
-    let names = |audience, after| {
-        let (rows, upto) = table.list_updates(after, audience, 10);
-        (rows.iter().map(|row| row.fingerprint).collect::<Vec<_>>(), upto)
+    let list = |audience, after| {
+        let (rows, version) = table.list_updates(after, audience, 10);
+        (rows.iter().map(|row| row.fingerprint).collect::<Vec<_>>(), version)
     };
-    let (told, upto) = names(Audience::Collector, 0);
-    assert_eq!(told, [fingerprint("a"), fingerprint("k")]);
-    assert_eq!(names(Audience::Collector, upto).0, []);
-    assert_eq!(names(Audience::Node, 0).0, [fingerprint("k")]);
+    let (updates, version) = list(Audience::Collector, 0);
+    assert_eq!(updates, [fingerprint("a"), fingerprint("k")]);
+    assert_eq!(list(Audience::Collector, version).0, []);
+    assert_eq!(list(Audience::Node, 0).0, [fingerprint("k")]);
     // What came from another hall is passed on to nodes, not back to collectors.
     table.merge(&row("far", &[3, 4, 5]), Origin::Elsewhere, NOW);
-    assert!(table.list_updates(upto, Audience::Collector, 10).0.is_empty());
-    assert_eq!(table.list_updates(upto, Audience::Node, 10).0.len(), 1);
+    assert!(table.list_updates(version, Audience::Collector, 10).0.is_empty());
+    assert_eq!(table.list_updates(version, Audience::Node, 10).0.len(), 1);
     // More than fits is told in parts, and nothing is left out.
     for number in 0..20 {
         table.merge(&row(&format!("m{number}"), &[10 + number]), Origin::Hall, NOW);
     }
-    let (mut after, mut seen) = (upto, BTreeSet::new());
+    let (mut after, mut seen) = (version, BTreeSet::new());
     for _ in 0..4 {
-        let (rows, upto) = table.list_updates(after, Audience::Collector, 6);
+        let (rows, version) = table.list_updates(after, Audience::Collector, 6);
         seen.extend(rows.iter().map(|row| row.fingerprint));
-        after = upto;
+        after = version;
     }
     assert_eq!(seen.len(), 20);
 }
@@ -210,13 +210,13 @@
     let other: id::Account = "globex".parse().unwrap();
     let theirs = Row { account: Some(other), ..row("theirs", &[1, 2, 3]) };
     table.merge(&theirs, Origin::Hall, NOW);
-    let most = if cfg!(debug_assertions) { 5_000 } else { 1_000_000 };
-    for number in 0..most {
+    let count = if cfg!(debug_assertions) { 5_000 } else { 1_000_000 };
+    for number in 0..count {
         let runners = [3 * number + 10, 3 * number + 11, 3 * number + 12];
         table.merge(&row(&number.to_string(), &runners), Origin::Hall, NOW);
     }
     assert_eq!(level(&table, "theirs"), Level::Deadly(3));
-    assert_eq!(level(&table, &(most - 1).to_string()), Level::Deadly(3), "the latest ones are held back");
+    assert_eq!(level(&table, &(count - 1).to_string()), Level::Deadly(3), "the latest ones are held back");
     assert!(table.iter().count() <= 1025);
     // With as many accounts the whole stays bounded as well, and each keeps some.
     for account_number in 0..100 {
--- a/crates/fleet/tests/throttle.rs
+++ b/crates/fleet/tests/throttle.rs
@@ -19,19 +19,19 @@
     "r1".parse().unwrap()
 }
 
-fn claim(life: u64, rate: Option<f64>, asked: u64, heard: u64) -> RateLimit {
+fn rate_limit(incarnation: u64, rate: Option<f64>, sent: u64, received: u64) -> RateLimit {
     let rate = rate.map(Rate::per_second);
     RateLimit {
         runner: runner(),
-        incarnation: Some(Incarnation(life)),
+        incarnation: Some(Incarnation(incarnation)),
         rate,
-        sent: Millis(asked),
-        received: Millis(heard),
+        sent: Millis(sent),
+        received: Millis(received),
     }
 }
 
-fn find(table: &Table, life: u64) -> Option<Rate> {
-    table.find(&runner(), Some(Incarnation(life)))
+fn find(table: &Table, incarnation: u64) -> Option<Rate> {
+    table.find(&runner(), Some(Incarnation(incarnation)))
 }
 
 #[test]
@@ -52,31 +52,31 @@
 #[test]
 fn a_later_answer_holds_and_a_former_one_changes_nothing() {
     let mut table = Table::default();
-    assert_eq!(table.apply(claim(1, Some(2.0), 100, 200)), Change::Set(Rate(2000)));
-    assert_eq!(table.apply(claim(1, Some(9.0), 10, 90)), Change::None, "said before");
-    assert_eq!(table.apply(claim(1, Some(5.0), 200, 300)), Change::Set(Rate(5000)));
-    assert_eq!(table.apply(claim(1, None, 300, 400)), Change::Withdrawn);
+    assert_eq!(table.apply(rate_limit(1, Some(2.0), 100, 200)), Change::Set(Rate(2000)));
+    assert_eq!(table.apply(rate_limit(1, Some(9.0), 10, 90)), Change::None, "said before");
+    assert_eq!(table.apply(rate_limit(1, Some(5.0), 200, 300)), Change::Set(Rate(5000)));
+    assert_eq!(table.apply(rate_limit(1, None, 300, 400)), Change::Withdrawn);
     assert_eq!(find(&table, 1), None);
 }
 
 #[test]
 fn the_lower_rate_holds_while_the_order_is_not_known() {
     let mut table = Table::default();
-    table.apply(claim(1, Some(2.0), 100, 200));
-    for (rate, asked) in [(Some(8.0), 150), (None, 199)] {
-        assert_eq!(table.apply(claim(1, rate, asked, 300)), Change::None, "both were under way at once");
+    table.apply(rate_limit(1, Some(2.0), 100, 200));
+    for (rate, sent) in [(Some(8.0), 150), (None, 199)] {
+        assert_eq!(table.apply(rate_limit(1, rate, sent, 300)), Change::None, "both were under way at once");
     }
-    assert_eq!(table.apply(claim(1, Some(1.0), 150, 300)), Change::Set(Rate(1000)));
-    assert_eq!(table.apply(claim(1, Some(8.0), 300, 350)), Change::Set(Rate(8000)));
+    assert_eq!(table.apply(rate_limit(1, Some(1.0), 150, 300)), Change::Set(Rate(1000)));
+    assert_eq!(table.apply(rate_limit(1, Some(8.0), 300, 350)), Change::Set(Rate(8000)));
 }
 
 #[test]
 fn a_new_life_owes_nothing_to_a_former_one() {
     let mut table = Table::default();
-    table.apply(claim(1, Some(2.0), 100, 200));
+    table.apply(rate_limit(1, Some(2.0), 100, 200));
     assert_eq!(find(&table, 2), None);
-    assert_eq!(table.apply(claim(2, Some(3.0), 150, 300)), Change::Set(Rate(3000)));
-    assert_eq!(table.apply(claim(1, Some(1.0), 400, 500)), Change::None, "a former life's answer, late");
+    assert_eq!(table.apply(rate_limit(2, Some(3.0), 150, 300)), Change::Set(Rate(3000)));
+    assert_eq!(table.apply(rate_limit(1, Some(1.0), 400, 500)), Change::None, "a former life's answer, late");
     assert_eq!(find(&table, 2), Some(Rate(3000)));
 }
 
@@ -95,12 +95,12 @@
 fn a_runner_that_takes_nothing_is_asked_again_now_and_then() {
     let own: id::Hall = "hall-a".parse().unwrap();
     let halls = Halls { own: &own, others: Vec::new() };
-    let mut rations = Allocations::default();
+    let mut allocations = Allocations::default();
     let mut sent = Vec::new();
     for now in (0..60_000).step_by(100) {
-        rations.record_demand(&runner(), Millis(now));
-        if rations.check(&runner(), Rate(0), &halls, Millis(now)).wait == Millis(0) {
-            rations.spend(&runner());
+        allocations.record_demand(&runner(), Millis(now));
+        if allocations.check(&runner(), Rate(0), &halls, Millis(now)).wait == Millis(0) {
+            allocations.spend(&runner());
             sent.push(now);
         }
     }
@@ -110,15 +110,19 @@
 #[test]
 fn callers_without_a_place_come_back_one_after_the_other() {
     let service: id::Service = "llm".parse().unwrap();
-    let outlook = Availability { wait: Millis(300), rate: Rate(2000) };
-    let mut returns = RetrySchedule::default();
-    let mut plan = |now, patience| {
-        let caller = Caller { service: &service, model: None, remaining_time: Some(Millis(patience)) };
-        returns.schedule(&caller, outlook, Millis(now)).0
+    let availability = Availability { wait: Millis(300), rate: Rate(2000) };
+    let mut retries = RetrySchedule::default();
+    let mut schedule_at = |now, remaining| {
+        let caller = Caller { service: &service, model: None, remaining_time: Some(Millis(remaining)) };
+        retries.schedule(&caller, availability, Millis(now)).0
     };
-    assert_eq!([plan(1000, 6000), plan(1000, 6000), plan(1000, 6000)], [300, 800, 1300]);
-    assert_eq!([plan(1000, 3000), plan(1000, 6000)], [1800, 1800], "who leaves before takes no place");
-    assert_eq!(plan(9000, 6000), 300, "those have come and gone");
+    assert_eq!([schedule_at(1000, 6000), schedule_at(1000, 6000), schedule_at(1000, 6000)], [300, 800, 1300]);
+    assert_eq!(
+        [schedule_at(1000, 3000), schedule_at(1000, 6000)],
+        [1800, 1800],
+        "who leaves before takes no place"
+    );
+    assert_eq!(schedule_at(9000, 6000), 300, "those have come and gone");
 }
 
 #[test]
@@ -127,8 +131,8 @@
     let mut rng = SmallRng::seed_from_u64(1);
     let mut sent = Vec::new();
     for now in (0..100_000).step_by(10) {
-        for alone in &mut nodes {
-            if alone.try_spend(&runner(), Rate(2000), 100, Millis(now), &mut rng) {
+        for bucket in &mut nodes {
+            if bucket.try_spend(&runner(), Rate(2000), 100, Millis(now), &mut rng) {
                 sent.push(now);
             }
         }
@@ -144,18 +148,18 @@
 fn answers() -> impl Strategy<Value = Vec<RateLimit>> {
     let one = (0..300u64, 1..500u64, prop::option::of(0..50_000u64), prop::bool::weighted(0.1));
     prop::collection::vec(one, 1..40).prop_map(|answers| {
-        let (mut said, mut life) = (1000, 1);
+        let (mut answered, mut incarnation) = (1000, 1);
         let made = answers.into_iter().map(|(pause, way, rate, restarts)| {
-            said += pause;
-            life += u64::from(restarts);
+            answered += pause;
+            incarnation += u64::from(restarts);
             let rate = rate.map(Rate);
-            let (asked, heard) = (Millis(said - way), Millis(said + way));
+            let (sent_at, received_at) = (Millis(answered - way), Millis(answered + way));
             RateLimit {
                 runner: runner(),
-                incarnation: Some(Incarnation(life)),
+                incarnation: Some(Incarnation(incarnation)),
                 rate,
-                sent: asked,
-                received: heard,
+                sent: sent_at,
+                received: received_at,
             }
         });
         made.collect()
@@ -174,15 +178,15 @@
     #[test]
     fn the_last_word_holds(mut answers in answers(), order in any::<prop::sample::Index>(), rate in prop::option::of(0..50_000u64)) {
         let last = answers.last().unwrap().clone();
-        let end = answers.iter().map(|claim| claim.received).max().unwrap();
-        let word = RateLimit { rate: rate.map(Rate), sent: end, received: end + Millis(50), ..last };
+        let end = answers.iter().map(|rate_limit| rate_limit.received).max().unwrap();
+        let latest = RateLimit { rate: rate.map(Rate), sent: end, received: end + Millis(50), ..last };
         let mut table = Table::default();
         let middle = order.index(answers.len());
         answers.rotate_left(middle);
-        for claim in answers.iter().chain([&word]).chain(&answers) {
-            table.apply(claim.clone());
+        for rate_limit in answers.iter().chain([&latest]).chain(&answers) {
+            table.apply(rate_limit.clone());
         }
-        prop_assert_eq!(table.find(&word.runner, word.incarnation), word.rate);
+        prop_assert_eq!(table.find(&latest.runner, latest.incarnation), latest.rate);
     }
 
     /// What holds is never higher than what may have been said last, of all that was read since
@@ -191,23 +195,23 @@
     #[test]
     fn nothing_higher_comes_back(answers in answers(), seed in any::<u64>()) {
         let mut table = Table::default();
-        let mut told: Vec<RateLimit> = Vec::new();
+        let mut applied: Vec<RateLimit> = Vec::new();
         let mut order: Vec<&RateLimit> = answers.iter().collect();
         rand::seq::SliceRandom::shuffle(&mut order[..], &mut SmallRng::seed_from_u64(seed));
-        for claim in order {
+        for rate_limit in order {
             let known = table.iter().next().is_some();
-            table.apply(claim.clone());
-            if known || claim.rate.is_some() {
-                told.push(claim.clone());
+            table.apply(rate_limit.clone());
+            if known || rate_limit.rate.is_some() {
+                applied.push(rate_limit.clone());
             }
-            let life = told.iter().filter_map(|claim| claim.incarnation).max();
-            let found = table.find(&claim.runner, life);
-            let newest = told.iter().filter(|claim| claim.incarnation == life);
-            let is_outdated = |claim: &RateLimit| told.iter().any(|other| {
-                other.incarnation == life && other.sent >= claim.received && other.rate != claim.rate
+            let incarnation = applied.iter().filter_map(|rate_limit| rate_limit.incarnation).max();
+            let found = table.find(&rate_limit.runner, incarnation);
+            let newest = applied.iter().filter(|rate_limit| rate_limit.incarnation == incarnation);
+            let is_outdated = |rate_limit: &RateLimit| applied.iter().any(|other| {
+                other.incarnation == incarnation && other.sent >= rate_limit.received && other.rate != rate_limit.rate
             });
             let order = |rate: Option<Rate>| rate.unwrap_or(Rate(u64::MAX));
-            let possible = newest.filter(|claim| !is_outdated(claim)).map(|claim| order(claim.rate));
+            let possible = newest.filter(|rate_limit| !is_outdated(rate_limit)).map(|rate_limit| order(rate_limit.rate));
             let highest = possible.max().unwrap_or(order(None));
             prop_assert!(order(found) <= highest, "{:?}, and at the most {}", found, highest);
         }
@@ -217,16 +221,16 @@
     #[test]
     fn parts_sum_up_to_no_more_than_the_rate(
         rate in 1..100_000u64,
-        wants in prop::collection::vec(0..200_000u64, 1..6),
+        demands in prop::collection::vec(0..200_000u64, 1..6),
         cut in prop::collection::vec(any::<bool>(), 6),
     ) {
         let part = |own: usize| {
-            let want = |other: usize| if cut[own] || cut[other] { u64::MAX } else { wants[other] };
+            let demand = |other: usize| if cut[own] || cut[other] { u64::MAX } else { demands[other] };
             let others: Vec<Rate> =
-                (0..wants.len()).filter(|other| *other != own).map(|other| Rate(want(other))).collect();
-            divide(Rate(rate), Rate(wants[own]), &others).0
+                (0..demands.len()).filter(|other| *other != own).map(|other| Rate(demand(other))).collect();
+            divide(Rate(rate), Rate(demands[own]), &others).0
         };
-        let all: u64 = (0..wants.len()).map(part).sum();
+        let all: u64 = (0..demands.len()).map(part).sum();
         prop_assert!(all <= rate, "{} of {}", all, rate);
     }
 
@@ -240,7 +244,7 @@
         seed in any::<u64>(),
     ) {
         let halls: Vec<id::Hall> = (0..busy.len()).map(|n| format!("hall-{n}").parse().unwrap()).collect();
-        let mut rations = vec![Allocations::default(); halls.len()];
+        let mut allocations = vec![Allocations::default(); halls.len()];
         let mut rng = SmallRng::seed_from_u64(seed);
         let mut sent: Vec<u64> = Vec::new();
         let mut by_hall: BTreeMap<usize, u32> = BTreeMap::new();
@@ -248,9 +252,9 @@
             let silent = |hall: usize| silences.iter().any(|(from, span, of)| *of == hall && (*from..from + span).contains(&now));
             if now.is_multiple_of(150) {
                 for from in (0..halls.len()).filter(|from| !silent(*from)) {
-                    let wants: Vec<Demand> = rations[from].list_demands(Millis(now));
+                    let demands: Vec<Demand> = allocations[from].list_demands(Millis(now));
                     for to in (0..halls.len()).filter(|to| *to != from && !silent(*to)) {
-                        rations[to].receive_demands(&halls[from], &wants);
+                        allocations[to].receive_demands(&halls[from], &demands);
                     }
                 }
             }
@@ -263,10 +267,10 @@
                     .map(|other| OtherHall { hall: &halls[other], is_silent: silent(other) || silent(hall) })
                     .collect();
                 let view = Halls { own: &halls[hall], others };
-                let ration = &mut rations[hall];
-                ration.record_demand(&runner(), Millis(now));
-                if ration.check(&runner(), Rate(rate), &view, Millis(now)).wait == Millis(0) {
-                    ration.spend(&runner());
+                let allocation = &mut allocations[hall];
+                allocation.record_demand(&runner(), Millis(now));
+                if allocation.check(&runner(), Rate(rate), &view, Millis(now)).wait == Millis(0) {
+                    allocation.spend(&runner());
                     sent.push(now);
                     *by_hall.entry(hall).or_default() += 1;
                 }
@@ -276,12 +280,12 @@
         let in_window = |from: &u64| sent.iter().filter(|at| (*from..*from + 4000).contains(at)).count();
         let worst = sent.iter().map(in_window).max().unwrap_or(0) as f64;
         prop_assert!(worst <= bound, "{} of {}", worst, bound);
-        let work: f64 = busy.iter().map(|pause| 1000.0 / *pause as f64).sum();
-        if silences.is_empty() && work > 5.0 * rate as f64 / 1000.0 {
+        let offered: f64 = busy.iter().map(|pause| 1000.0 / *pause as f64).sum();
+        if silences.is_empty() && offered > 5.0 * rate as f64 / 1000.0 {
             // Each hall may be about to send one.
             let most = sent.len() + halls.len();
-            let used = most as f64 / Rate(rate).count(Millis(20_000));
-            prop_assert!(used >= 0.85, "{} used, by hall {:?}", used, by_hall);
+            let utilization = most as f64 / Rate(rate).count(Millis(20_000));
+            prop_assert!(utilization >= 0.85, "{} used, by hall {:?}", utilization, by_hall);
         }
     }
 }
--- a/crates/fleet/tests/trials.rs
+++ b/crates/fleet/tests/trials.rs
@@ -60,15 +60,16 @@
 fn suspected_requests_wait_while_runners_are_short_and_a_deadly_one_runs_nowhere() {
     let a = fingerprint("a");
     let trials = Trials::default();
-    let rule = |now, usual| trials.decide(&a, Level::Suspected(1), Capacity { available: now, usual }, NOW);
-    assert_eq!(rule(1, 1), Ruling::Trial, "there never were more");
-    assert_eq!(rule(2, 3), Ruling::Trial, "one hall of three is lost");
-    assert_eq!(rule(1, 2), Ruling::Trial, "what was in flight at the other goes on");
+    let decide =
+        |available, usual| trials.decide(&a, Level::Suspected(1), Capacity { available, usual }, NOW);
+    assert_eq!(decide(1, 1), Ruling::Trial, "there never were more");
+    assert_eq!(decide(2, 3), Ruling::Trial, "one hall of three is lost");
+    assert_eq!(decide(1, 2), Ruling::Trial, "what was in flight at the other goes on");
     assert_eq!(
-        (rule(0, 2), rule(1, 3), rule(0, 3)),
+        (decide(0, 2), decide(1, 3), decide(0, 3)),
         (Ruling::Quarantine, Ruling::Quarantine, Ruling::Quarantine)
     );
-    assert_eq!((rule(12, 20), rule(11, 20)), (Ruling::Trial, Ruling::Quarantine));
+    assert_eq!((decide(12, 20), decide(11, 20)), (Ruling::Trial, Ruling::Quarantine));
     assert_eq!(trials.decide(&a, Level::Clear, Capacity { available: 1, usual: 9 }, NOW), Ruling::Run);
     assert_eq!(trials.decide(&a, Level::Deadly(3), ALL, NOW), Ruling::Reject);
 }
@@ -77,12 +78,13 @@
 fn what_is_usual_is_remembered_for_some_time_and_then_forgotten() {
     let service = "engines".parse().unwrap();
     let (small, large) = ("small".parse().unwrap(), "large".parse().unwrap());
-    let mut usual = Baseline::default();
-    let mut note = |model, takers, at| usual.record(&service, Some(model), takers, NOW + Millis(at)).usual;
-    assert_eq!(note(&small, 9, 0), 9);
-    assert_eq!(note(&large, 3, 0), 3);
-    assert_eq!(note(&small, 4, 29_000), 9);
-    assert_eq!(note(&small, 4, 59_000), 9);
-    assert_eq!(note(&small, 4, 90_000), 4, "that many are usual now");
-    assert_eq!(note(&small, 6, 91_000), 6);
+    let mut baseline = Baseline::default();
+    let mut record =
+        |model, available, at| baseline.record(&service, Some(model), available, NOW + Millis(at)).usual;
+    assert_eq!(record(&small, 9, 0), 9);
+    assert_eq!(record(&large, 3, 0), 3);
+    assert_eq!(record(&small, 4, 29_000), 9);
+    assert_eq!(record(&small, 4, 59_000), 9);
+    assert_eq!(record(&small, 4, 90_000), 4, "that many are usual now");
+    assert_eq!(record(&small, 6, 91_000), 6);
 }
