--- a/crates/fleet/benches/outbreak.rs
+++ b/crates/fleet/benches/outbreak.rs
@@ -1,5 +1,5 @@
-//! What requests that end runners cost, by the way in which nodes treat them. Prints a row for
-//! each size of the fleet, trouble, load and way: averages of twenty seeds.
+//! The cost of deadly requests, which crash the runners that execute them, by the policy of the nodes.
+//! Prints a row for each fleet size, fault, load and policy: averages of twenty seeds.
 
 #[path = "../tests/outbreak/mod.rs"]
 mod outbreak;
@@ -8,7 +8,7 @@
 
 const SEEDS: u64 = 20;
 
-/// Different deadly requests, and how often each comes in a second.
+/// The number of different deadly requests, and the arrivals of each per second.
 const LOADS: [(usize, f64); 4] = [(0, 0.0), (1, 2.0), (1, 10.0), (20, 0.5)];
 
 fn main() {
@@ -20,7 +20,7 @@
         }
         for (deadly, rate) in LOADS {
             for policy in Policy::ALL {
-                // Nothing ends such a day, and it says the same at any size.
+                // Without a policy the crashes never stop, and the result is the same at any size.
                 if policy == Policy::None && size.nodes != SIZES[0].nodes {
                     continue;
                 }
--- a/crates/fleet/benches/pressure.rs
+++ b/crates/fleet/benches/pressure.rs
@@ -1,8 +1,9 @@
-//! What a runner that names a rate gets, by way of sharing it, trouble and size: the most in 4 s
-//! against what may come at the most, the most beyond what the rate allows, and the least part of
-//! it that is used over 10 s. Twenty seeds each; the worst seed is shown. Then the bytes that it adds
-//! to reports, and a plot, `pressure.svg` in the folder for builds, of what comes while a hall is
-//! cut off.
+//! The load of a runner that announces a rate limit, by policy of sharing the rate, fault and fleet size.
+//!
+//! Prints the ratio of the requests in 4 s to the bound of the test, the excess over what the rate allows,
+//! and the minimum utilization of the rate over 10 s: the worst of twenty seeds. Then prints the bytes that
+//! rate limits add to reports, and draws `pressure.svg` in the build folder: the requests over time while
+//! a hall is partitioned.
 
 #[path = "../tests/pressure/mod.rs"]
 mod pressure;
@@ -25,10 +26,10 @@
 
 const RATES: [f64; 2] = [1.1, 20.0];
 
-/// Runners that name a rate, of six hundred.
+/// The number of runners that announce a rate, of six hundred.
 const RATE_LIMITED: usize = 60;
 
-/// The plot shows what came in so many milliseconds, as a rate.
+/// The window, in milliseconds, over which the plotted rates are counted.
 const PLOT_WINDOW: u64 = 1000;
 
 const PLOTTED_POLICIES: [(Policy, RGBColor); 3] = [
@@ -63,7 +64,7 @@
     }
 }
 
-/// What claims and wants add to a report of a hall, and a claim to that of a node.
+/// Prints the bytes that rate limits and demand add to the report of a hall.
 fn print_bytes() -> Result<(), Box<dyn Error>> {
     let runner_id = |number: usize| format!("i-{number:010x}").parse();
     let claim = |number| -> Result<Message, Box<dyn Error>> {
@@ -81,7 +82,7 @@
     Ok(())
 }
 
-/// What came to a runner over time, while one hall of three is cut off from it and from the others.
+/// Draws the requests over time while one hall of three is partitioned from the runner and the others.
 fn draw(path: &Path) -> Result<(), Box<dyn Error>> {
     let rate = RATES[1];
     let root = SVGBackend::new(path, (820, 360)).into_drawing_area();
@@ -116,7 +117,7 @@
     Ok(())
 }
 
-/// The mark of a line in the key.
+/// Draws the mark of a line in the legend.
 fn draw_legend((x, y): (i32, i32), color: RGBColor) -> PathElement<(i32, i32)> {
     PathElement::new(vec![(x, y), (x + 18, y)], color)
 }
--- a/crates/fleet/tests/deadly.rs
+++ b/crates/fleet/tests/deadly.rs
@@ -1,18 +1,19 @@
-//! How many runners a request ends before all nodes hold it back, and whom that harms, on a
-//! set clock. The bench `outbreak` prints the figures of more ways and seeds.
+//! How many runners a deadly request crashes until all nodes quarantine it, and how many harmless
+//! requests suffer, in a simulated fleet. The bench `outbreak` prints the results for more policies and
+//! seeds.
 
 mod outbreak;
 
 use cottoncrank::Millis;
 use outbreak::{Fault, PROPAGATION_BOUND, Policy, SIZES, Scenario, Summary, simulate_seeds};
 
-/// Further runs that are allowed once three runners have ended and all nodes can know.
+/// The further runs that are allowed after three crashes, once all nodes can know of them.
 const MAX_LATE_RUNS: usize = 3;
 
-/// Seeds of each day.
+/// The number of seeds for each scenario.
 const SEEDS: u64 = if cfg!(debug_assertions) { 4 } else { 20 };
 
-/// One deadly request, ten times a second, at the smallest fleet.
+/// One deadly request ten times a second, in the smallest fleet.
 fn default_scenario(seed: u64) -> Scenario {
     Scenario { size: SIZES[0], deadly: 1, rate: 10.0, policy: Policy::Trial, fault: Fault::None, seed }
 }
@@ -28,7 +29,7 @@
 }
 
 #[test]
-fn all_nodes_hold_a_deadly_request_back_at_any_size_and_pace() {
+fn all_nodes_quarantine_a_deadly_request_at_any_fleet_size_and_rate() {
     for size in SIZES {
         for rate in [2.0, 10.0] {
             check(|seed| Scenario { size, rate, ..default_scenario(seed) });
@@ -37,7 +38,7 @@
 }
 
 #[test]
-fn they_do_with_the_store_away_a_hall_cut_off_or_a_collector_gone() {
+fn all_nodes_quarantine_it_without_the_store_a_hall_or_a_collector() {
     let faults = [Fault::StoreAway, Fault::HallCut, Fault::CollectorLost, Fault::CollectorSuspended];
     for fault in faults {
         check(|seed| Scenario { fault, ..default_scenario(seed) });
@@ -45,22 +46,25 @@
 }
 
 #[test]
-fn and_beside_runners_that_end_by_themselves() {
+fn all_nodes_quarantine_it_while_other_runners_crash_without_it() {
     check(|seed| Scenario { fault: Fault::Crashes, ..default_scenario(seed) });
 }
 
 #[test]
-fn runs_apart_and_one_at_a_time_end_fewer_runners_and_harm_fewer_requests() {
+fn isolated_trial_runs_crash_fewer_runners_and_fail_fewer_requests() {
     let simulate = |policy| simulate_seeds(20, &|seed| Scenario { policy, ..default_scenario(seed) });
     let (count, trial) = (simulate(Policy::Count), simulate(Policy::Trial));
     assert!(trial.crashes < count.crashes, "{trial:?} against {count:?}");
     assert!(trial.served > count.served, "{trial:?} against {count:?}");
     assert_eq!(trial.wrongly_rejected, 0);
-    assert!(count.wrongly_rejected > 0, "a count alone refuses those that were only there: {count:?}");
+    assert!(
+        count.wrongly_rejected > 0,
+        "a count alone rejects requests that were in flight by chance: {count:?}"
+    );
 }
 
 #[test]
-fn twenty_deadly_requests_leave_runners_to_the_others() {
+fn twenty_deadly_requests_leave_runners_for_harmless_ones() {
     for (size, seeds, min_served) in [(SIZES[0], SEEDS, 0.5), (SIZES[1], SEEDS / 4, 0.8)] {
         let scenario = |seed| Scenario { size, deadly: 20, rate: 0.5, ..default_scenario(seed) };
         let summary = simulate_seeds(seeds, &scenario);
@@ -71,7 +75,7 @@
 }
 
 #[test]
-fn without_any_of_them_runners_that_end_cost_what_they_did() {
+fn without_deadly_requests_trial_runs_make_crashes_no_more_costly() {
     let scenario =
         |policy| move |seed| Scenario { policy, deadly: 0, fault: Fault::Crashes, ..default_scenario(seed) };
     let (none, trial) =
@@ -81,10 +85,10 @@
 }
 
 #[test]
-fn what_rows_add_to_the_exchange_stays_small() {
+fn rows_add_few_bytes_to_exchanges() {
     for size in SIZES {
         let calm = simulate_seeds(2, &|seed| Scenario { size, deadly: 0, ..default_scenario(seed) });
-        assert!(calm.bytes < 40.0, "bytes a second and node without any: {calm:?}");
+        assert!(calm.bytes < 40.0, "bytes per second and node without deadly requests: {calm:?}");
         let one = simulate_seeds(2, &|seed| Scenario { size, ..default_scenario(seed) });
         assert!(one.bytes < 400.0, "{one:?}");
     }
--- a/crates/fleet/tests/limits.rs
+++ b/crates/fleet/tests/limits.rs
@@ -1,5 +1,5 @@
-//! A runner that names a rate, before nodes of three halls: it gets no more than it takes from all
-//! of them together, and as much of that as there is work for.
+//! A runner that announces a rate limit gets no more requests than that from the nodes of three halls
+//! together, and uses the whole rate while there is demand for it.
 
 mod pressure;
 
@@ -10,7 +10,7 @@
 const SIZES: [usize; 3] = [12, 90, 300];
 
 #[test]
-fn the_rate_is_kept_through_all_troubles_at_every_size() {
+fn the_limit_is_kept_under_all_faults_at_every_fleet_size() {
     for nodes in SIZES {
         for fault in FAULTS {
             for rate in [1.1, 20.0] {
@@ -18,7 +18,7 @@
                 let load_ratio = find_max(&outcomes, |one| one.load_ratio);
                 assert!(
                     load_ratio <= 1.0,
-                    "{rate}/s, {nodes} nodes, {fault:?}: {load_ratio:.2} of what may come"
+                    "{rate}/s, {nodes} nodes, {fault:?}: {load_ratio:.2} of the bound"
                 );
             }
         }
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn the_load_shows_the_harm() {
+fn other_policies_exceed_the_limit_under_this_load() {
     let forgotten = simulate(Policy::Forgotten, Fault::Nothing, 90, 1.1, SEEDS);
     assert!(find_min(&forgotten, |one| one.load_ratio) > 1.0, "{forgotten:?}");
     let alone = simulate(Policy::Nodes, Fault::Nothing, 300, 1.1, SEEDS);
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn the_rate_is_used_while_there_is_work_for_it() {
+fn the_rate_is_used_while_there_is_demand() {
     for nodes in SIZES {
         for fault in [Fault::Nothing, Fault::HallApart, Fault::OneNode] {
             let outcomes = simulate(Policy::Wanted, fault, nodes, 20.0, SEEDS);
@@ -44,27 +44,30 @@
             );
         }
         let cut = simulate(Policy::Wanted, Fault::HallCut, nodes, 20.0, SEEDS);
-        assert!(find_min(&cut, |one| one.utilization) >= 0.6, "{nodes} nodes, a hall is cut off: {cut:?}");
-        // Eleven may come in ten seconds: one of them is a tenth.
+        assert!(
+            find_min(&cut, |one| one.utilization) >= 0.6,
+            "{nodes} nodes, a hall is partitioned: {cut:?}"
+        );
+        // Eleven requests are allowed in ten seconds, so one of them is about a tenth.
         let few = simulate(Policy::Wanted, Fault::Nothing, nodes, 1.1, SEEDS);
         assert!(find_min(&few, |one| one.utilization) >= 0.8, "{nodes} nodes: {few:?}");
     }
 }
 
 #[test]
-fn what_one_hall_leaves_the_others_use() {
+fn halls_use_the_share_that_other_halls_do_not_need() {
     let even = simulate(Policy::Halls, Fault::OneNode, 90, 20.0, SEEDS);
     let wanted = simulate(Policy::Wanted, Fault::OneNode, 90, 20.0, SEEDS);
     let utilization = [&even, &wanted].map(|outcomes| find_min(outcomes, |one| one.utilization));
     assert!(
         utilization[0] < 0.4 && utilization[1] > 0.85,
-        "even parts, and parts by what is wanted: {utilization:?}"
+        "equal shares, and shares by demand: {utilization:?}"
     );
     let lent = simulate(Policy::Lent, Fault::HallApart, 90, 20.0, SEEDS);
     let wanted = simulate(Policy::Wanted, Fault::HallApart, 90, 20.0, SEEDS);
     let utilization = [&lent, &wanted].map(|outcomes| find_min(outcomes, |one| one.utilization));
     assert!(
         utilization[0] < 0.8 && utilization[1] > 0.85,
-        "lent by one hall, and shared by all: {utilization:?}"
+        "leased by one hall, and divided by all: {utilization:?}"
     );
 }
--- a/crates/fleet/tests/outbreak/mod.rs
+++ b/crates/fleet/tests/outbreak/mod.rs
@@ -1,10 +1,10 @@
-//! A fleet on a set clock, to which requests come that end the runners which run them.
+//! Simulates a fleet that receives deadly requests, which crash the runners that execute them.
 //!
-//! Nodes tell their collector what they have in flight, ask it for a group for each request,
-//! and collectors tell each other, as often as the program does; the store tells all nodes
-//! what the collectors write. Runners that end are back seconds later.
+//! Time is simulated. Nodes send reports to their collector and ask it for a group for each request, and
+//! collectors exchange reports, at the intervals of the real program. What collectors write to the store
+//! reaches all nodes. Crashed runners restart within seconds.
 
-#![allow(dead_code, reason = "tests and the bench use a part of this module each")]
+#![allow(dead_code, reason = "tests and the bench each use a part of this module")]
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -21,16 +21,18 @@
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
 
-/// How nodes treat a request under which runners have ended.
+/// How nodes treat a request that was in flight when runners crashed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Policy {
-    /// As any other.
+    /// Like any other request.
     None,
-    /// It is refused after three ends, whatever else was there, and runs freely until then.
+    /// It is rejected after three crashes, whatever else was in flight, and runs without restrictions until
+    /// then.
     Count,
-    /// The same, but ends that another request explains do not count.
+    /// The same, but crashes that another request explains do not count.
     Explained,
-    /// As the program does: the same, and suspected ones run one at a time and apart.
+    /// What the program does: the same, and suspected requests run one at a time and isolated from each
+    /// other.
     Trial,
 }
 
@@ -38,20 +40,19 @@
     pub const ALL: [Policy; 4] = [Policy::None, Policy::Count, Policy::Explained, Policy::Trial];
 }
 
-/// What is wrong meanwhile.
+/// The fault injected besides the deadly requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// Nothing.
     None,
-    /// The store is away.
+    /// The store is unavailable.
     StoreAway,
-    /// The first hall reaches no other one, but the store.
+    /// The first hall is partitioned from the others, but reaches the store.
     HallCut,
-    /// The collector of the first hall ends once two runners have ended.
+    /// The collector of the first hall is lost after two crashes.
     CollectorLost,
-    /// The same, but it is only suspended, and knows then what it knew.
+    /// The same, but it is only suspended and resumes with its former state.
     CollectorSuspended,
-    /// A fifth of the runners end by themselves in the first second, one after the other.
+    /// A fifth of the runners crash without a deadly request within one second, one after the other.
     Crashes,
 }
 
@@ -66,83 +67,84 @@
     ];
 }
 
-/// A fleet.
+/// The size of a fleet.
 #[derive(Clone, Copy, Debug)]
 pub struct Size {
     pub nodes: usize,
     pub halls: usize,
     pub groups: usize,
-    /// Slots of a group.
+    /// The slots of each group.
     pub slots: usize,
 }
 
-/// Fleets of the sizes of today and of what is to come.
+/// Present and expected sizes of fleets.
 pub const SIZES: [Size; 3] = [
     Size { nodes: 12, halls: 3, groups: 12, slots: 16 },
     Size { nodes: 90, halls: 4, groups: 60, slots: 15 },
     Size { nodes: 300, halls: 5, groups: 150, slots: 14 },
 ];
 
-/// A day.
+/// The input of a simulation.
 #[derive(Clone, Copy, Debug)]
 pub struct Scenario {
     pub size: Size,
-    /// Different deadly requests.
+    /// The number of different deadly requests.
     pub deadly: usize,
-    /// How often each of them comes in a second.
+    /// The arrivals of each of them per second.
     pub rate: f64,
     pub policy: Policy,
     pub fault: Fault,
     pub seed: u64,
 }
 
-/// What was seen of one deadly request.
+/// What one deadly request did.
 #[derive(Clone, Debug, Default)]
 pub struct Observations {
-    /// When runners ended under it.
+    /// When it crashed runners.
     pub crashes: Vec<Millis>,
-    /// When it was sent to runners.
+    /// When it was sent to a runner.
     pub runs: Vec<Millis>,
-    /// When each node knew.
+    /// When each node first knew that it is deadly.
     pub known_since: BTreeMap<usize, Millis>,
 }
 
-/// What came of a day.
+/// The result of a simulation.
 #[derive(Clone, Debug, Default)]
 pub struct Outcome {
     pub deadly: Vec<Observations>,
-    /// Usual requests, and what became of them.
+    /// The number of harmless requests, and of those that were served.
     pub harmless: usize,
     pub served: usize,
-    /// Refused for good although they end nothing.
+    /// Harmless requests that were rejected as deadly.
     pub wrongly_rejected: usize,
-    /// Told to come back, for a run of the same was undecided.
+    /// How often harmless requests were told to come back, because a trial run of the same request was
+    /// undecided.
     pub quarantined: usize,
-    /// Exchanges, and what the rows add to them in bytes.
+    /// The number of exchanges between nodes, and the bytes that rows add to them.
     pub exchanges: usize,
     pub bytes: usize,
 }
 
-/// Deadly requests come within this, after the first second.
+/// Deadly requests arrive during this time, after the first second.
 pub const ARRIVAL_PERIOD: Millis = Millis(10_000);
 
-/// What is looked at, over days of several seeds.
+/// The results of simulations with several seeds.
 #[derive(Debug, Default)]
 pub struct Summary {
-    /// Runners that ended under one deadly request: on average, and the most.
+    /// The crashes caused by one deadly request: the average and the maximum.
     pub crashes: f64,
     pub max_crashes: usize,
-    /// The most runs later than the third end and the time in which all are to know.
+    /// The maximum number of runs later than [`PROPAGATION_BOUND`] after the third crash.
     pub max_late_runs: usize,
-    /// The longest that a node needed to know after the third end.
+    /// The longest time from the third crash until a node knew that the request is deadly.
     pub max_propagation: Millis,
-    /// Nodes that did not know in the end.
+    /// The nodes that did not know at the end.
     pub uninformed: usize,
-    /// The part of the usual requests that is served. Those that come last have no time.
+    /// The fraction of harmless requests that is served. The last arrivals do not complete in time.
     pub served: f64,
     pub wrongly_rejected: usize,
     pub quarantined: usize,
-    /// Bytes that rows add to what a node exchanges in a second.
+    /// The bytes per second and node that rows add to exchanges.
     pub bytes: f64,
 }
 
@@ -165,7 +167,7 @@
     }
 }
 
-/// Plays a day with so many seeds.
+/// Runs a scenario with the first `seeds` seeds.
 pub fn simulate_seeds(seeds: u64, scenario: &impl Fn(u64) -> Scenario) -> Summary {
     let mut summary = Summary::default();
     for seed in 0..seeds {
@@ -175,42 +177,42 @@
     summary
 }
 
-/// The end of a day.
+/// The duration of a simulation.
 const END: Millis = Millis(16_000);
 
-/// What is known is to be known everywhere within this.
+/// The time within which every node must know what any node knows.
 pub const PROPAGATION_BOUND: Millis = Millis(3000);
 
-/// A node reports this often, and a collector to others.
+/// The intervals of reports from a node to its collector and between collectors.
 const REPORT_INTERVAL: (u64, u64) = (50, 500);
 const HALL_REPORT_INTERVAL: Millis = Millis(150);
 
-/// Nodes look this often what nothing more is heard of.
+/// The interval at which nodes settle requests with enough crashes.
 const SETTLE_INTERVAL: Millis = Millis(100);
 
-/// How long a message takes between nodes, and an examination of a runner.
+/// The delay of a message between nodes, and of a check of a runner.
 const MESSAGE_DELAY: Millis = Millis(3);
 
-/// How long the store's entries take to nodes: its watch, and their gathering.
+/// The time from a write to the store until nodes read it: the watch, and the batching of changes.
 const STORE_DELAY: (u64, u64) = (150, 900);
 
-/// How long a usual request runs, and a deadly one until its runner ends.
+/// How long a harmless request runs, and how long a deadly one runs until its runner crashes.
 const HARMLESS_RUN_TIME: (u64, u64) = (500, 2000);
 const TIME_TO_CRASH: (u64, u64) = (60, 350);
 
-/// How long the group of a runner that ended is away.
+/// How long the group of a crashed runner is out of service.
 const DOWNTIME: (u64, u64) = (2000, 5000);
 
-/// How long a suspended node sleeps.
+/// How long the suspended collector does not run.
 const SUSPENSION: Millis = Millis(3000);
 
-/// Runners one request is sent to, and how often its caller comes again.
+/// The runners that one request is sent to, and how often its caller retries.
 const MAX_ATTEMPTS: u32 = 2;
 const CALLER_RETRIES: u32 = 1;
 
 #[derive(Clone, Copy, Debug)]
 struct Request {
-    /// Which one it is; below `Day::deadly` it ends runners.
+    /// Identifies the request; numbers below [`Scenario::deadly`] are deadly.
     number: usize,
     node: usize,
     attempts: u32,
@@ -300,7 +302,7 @@
         Millis(self.rng.random_range(range.0..=range.1))
     }
 
-    /// Plans what comes from outside.
+    /// Schedules the arrivals, the intervals and the injected crashes.
     fn schedule_load(&mut self) {
         for node in 0..self.scenario.size.nodes {
             let first = self.draw_delay((0, REPORT_INTERVAL.1));
@@ -311,7 +313,7 @@
             let first = self.draw_delay((0, HALL_REPORT_INTERVAL.0));
             self.schedule(first, Event::HallReport { node });
         }
-        // Six tenths of the slots are in use.
+        // At this rate, six tenths of the slots are in use.
         let stay = (HARMLESS_RUN_TIME.0 + HARMLESS_RUN_TIME.1) as f64 / 2000.0;
         let rate = 0.6 * (self.scenario.size.groups * self.scenario.size.slots) as f64 / stay;
         let harmless = (rate * END.0 as f64 / 1000.0) as usize;
@@ -343,7 +345,7 @@
         number < self.scenario.deadly
     }
 
-    /// The collector of a hall: its first node that runs.
+    /// Returns the collector of a hall: its first node that is not lost.
     fn collector(&self, hall: usize) -> usize {
         (0..self.scenario.size.nodes)
             .find(|node| self.nodes[*node].hall == hall && !self.nodes[*node].lost)
@@ -354,7 +356,7 @@
         self.scenario.fault == Fault::HallCut && hall != other && (hall == 0 || other == 0)
     }
 
-    /// What a node holds a request for.
+    /// Returns how strongly a node suspects a request.
     fn level(&self, node: usize, number: usize) -> Level {
         let (table, fingerprint) = (&self.nodes[node].table, fingerprint(number));
         let counted = table.get(&fingerprint).map_or(0, Row::count_crashes);
@@ -367,7 +369,7 @@
         }
     }
 
-    /// Takes rows in at a node.
+    /// Merges rows at a node.
     fn merge(&mut self, node: usize, rows: &[Row], origin: Origin) {
         for row in rows {
             let (now, node_at) = (self.now, node);
@@ -378,7 +380,7 @@
         self.record_known(node);
     }
 
-    /// A node exchanges with another one what both know.
+    /// Exchanges the rows of two nodes.
     fn exchange(&mut self, from: usize, to: usize, scope: Scope) {
         let name = self.nodes[to].name.clone();
         let (push, version) = self.nodes[from].peers.build_push(&self.nodes[from].table, &name);
@@ -395,7 +397,7 @@
         self.outcome.bytes += size(&push.rows) + size(&pull.rows);
     }
 
-    /// A node asks its collector; returns the group that takes a request.
+    /// Asks the collector of a node for the group that takes a request.
     fn pick_group(&mut self, node: usize, number: usize) -> Result<usize, Ruling> {
         let collector = self.collector(self.nodes[node].hall);
         if collector != node {
@@ -541,7 +543,7 @@
         }
     }
 
-    /// A collector tells the others, and the store what it lacks.
+    /// Exchanges rows with the other collectors and writes to the store what it lacks.
     fn report_to_halls(&mut self, node: usize) {
         let hall = self.nodes[node].hall;
         let collector = self.collector(hall);
@@ -614,7 +616,7 @@
     }
 }
 
-/// Plays a day.
+/// Runs a scenario.
 pub fn simulate(scenario: Scenario) -> Outcome {
     let mut fleet = Fleet::new(scenario);
     fleet.schedule_load();
--- a/crates/fleet/tests/pressure/mod.rs
+++ b/crates/fleet/tests/pressure/mod.rs
@@ -1,8 +1,8 @@
-//! A runner that names a rate, before the nodes of several halls, on a set clock.
+//! Simulates a runner that announces a rate limit, and the nodes of several halls that send to it.
 //!
-//! The load: every hall has more requests that would go to the runner than it takes. What runners
-//! say travels as it does between nodes: in answers, in reports to the collector of the hall, and
-//! between collectors. Compared are ways to share the rate; the kept one is the product's own code.
+//! Every hall has more requests for the runner than the runner accepts. Rate limits travel as they do
+//! between real nodes: in answers, in reports to the collector of the hall, and between collectors. The
+//! simulation compares ways to share the rate; [`Policy::Wanted`] is the code of the product.
 
 #![allow(dead_code, reason = "tests and the benchmark each use a part of this module")]
 
@@ -18,79 +18,79 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-/// When the runner first names its rate.
+/// When the runner first announces its rate limit.
 pub const ANNOUNCED: u64 = 3000;
 
-/// The rule binds from then on.
+/// From when on the limit must be kept.
 pub const ENFORCED_FROM: u64 = ANNOUNCED + 3000;
 
-/// When trouble begins, and when it is over.
+/// When the fault begins and ends.
 pub const FAULT_PERIOD: std::ops::Range<u64> = 20_000..30_000;
 
-/// How long is played.
+/// The duration of the simulation.
 pub const END: u64 = 50_000;
 
-/// The rule counts requests over this time.
+/// The window over which requests are compared with the limit.
 pub const WINDOW: u64 = 4000;
 
-/// The rate is to be used over this time.
+/// The window over which the utilization of the rate is measured.
 pub const UTILIZATION_WINDOW: u64 = 10_000;
 
-/// The part of the requests that go to the runner while it names no rate.
+/// The fraction of requests that go to the runner while it announces no rate.
 const UNLIMITED_SHARE: f64 = 0.15;
 
-/// Collectors tell each other this often.
+/// The interval of reports between collectors.
 const EXCHANGE_INTERVAL: u64 = 150;
 
-/// What the other ways save up, as the product does.
+/// The burst of the token buckets of the other policies, as large as the product's.
 const BURST: f64 = 1.25;
 
-/// A lease lasts this long.
+/// The lifetime of a lease of [`Policy::Lent`].
 const LEASE_TTL: u64 = 1500;
 
 /// How the rate is shared.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Policy {
-    /// It is not kept.
+    /// It is ignored.
     Forgotten,
-    /// Each node keeps its part of the nodes it knows.
+    /// Each node enforces an equal share of the nodes that it knows.
     Nodes,
-    /// Each hall keeps its part of the halls it knows.
+    /// Each hall enforces an equal share of the halls that it knows.
     Halls,
-    /// The collector of the runner's hall lends parts to the others for a while.
+    /// The collector of the runner's hall leases shares to the others.
     Lent,
-    /// Halls share by what they want, those that are silent keep their part.
+    /// Halls share by their demand, and reserve the shares of those that send no reports.
     Wanted,
 }
 
 pub const POLICIES: [Policy; 5] =
     [Policy::Forgotten, Policy::Nodes, Policy::Halls, Policy::Lent, Policy::Wanted];
 
-/// What goes wrong.
+/// The injected fault or change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
     Nothing,
-    /// A hall is cut off from the others and from the runner.
+    /// A hall is partitioned from the others and from the runner.
     HallCut,
     /// The same, but it still reaches the runner.
     HallApart,
     /// The collector of the runner's hall is lost; another one begins a second later.
     CollectorLost,
-    /// It stands still for three seconds and goes on with what it had.
+    /// It is suspended for three seconds and resumes with its former state.
     CollectorSuspended,
-    /// The rate falls to a tenth for a while.
+    /// The rate is a tenth for a while.
     Falls,
-    /// It is ten times as high for a while.
+    /// The rate is ten times as high for a while.
     Rises,
-    /// It changes between its value and half of it ten times a second.
+    /// The rate alternates between its value and half of it ten times a second.
     Flickers,
-    /// The runner starts again, and names no rate for the first second.
+    /// The runner restarts and announces no rate for the first second.
     Reborn,
-    /// One node alone has work for it.
+    /// Only one node has requests for the runner.
     OneNode,
-    /// A hall has no work for it but for a while.
+    /// The demand of one hall moves to another one for a while.
     WorkMoves,
-    /// A hall comes and goes.
+    /// A hall is part of the fleet only for a while.
     HallJoins,
 }
 
@@ -109,16 +109,16 @@
     Fault::HallJoins,
 ];
 
-/// What came of it.
+/// The result of a simulation.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Outcome {
-    /// The most requests in a window beyond what the rate allows in it.
+    /// The maximum number of requests in a window beyond what the rate allows.
     pub excess: f64,
-    /// The most in a window, against what may come at the most.
+    /// The maximum ratio of the requests in a window to the bound of the test.
     pub load_ratio: f64,
-    /// The least part of the rate that was used over some time.
+    /// The minimum fraction of the rate that was used in a window.
     pub utilization: f64,
-    /// The same, before trouble.
+    /// The same, before the fault.
     pub calm_utilization: f64,
 }
 
@@ -127,17 +127,17 @@
 struct Collector {
     table: Table,
     allocations: Allocations,
-    /// When each other hall last told.
+    /// When each other hall last sent a report.
     last_reports: Vec<Option<u64>>,
-    /// What it has lent, or was lent, and until when.
+    /// The share that it leases, and until when.
     lease: Option<(Rate, u64)>,
-    /// What it wants, and what others want, for lending.
+    /// The demand of each hall, for [`Policy::Lent`].
     demands: Vec<Rate>,
     tokens: f64,
     refilled: u64,
 }
 
-/// An answer under way, by when it comes.
+/// An answer in transit, ordered by its time of arrival.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Answer {
     at: u64,
@@ -158,7 +158,7 @@
     local_buckets: Vec<LocalBuckets>,
     runner: id::Runner,
     answers: BinaryHeap<Reverse<Answer>>,
-    /// Claims on the way from a node to its collector.
+    /// Reports from nodes to their collectors, by their time of arrival.
     reports: BinaryHeap<Reverse<(u64, usize)>>,
     sent: Vec<u64>,
     rng: SmallRng,
@@ -199,7 +199,7 @@
         u64::from(self.fault == Fault::Reborn && now >= FAULT_PERIOD.start)
     }
 
-    /// The rate that the runner names at a time.
+    /// Returns the rate that the runner announces at a time.
     fn announced_rate(&self, now: u64) -> Option<f64> {
         let restarting = self.has_fault(Fault::Reborn, now) && now < FAULT_PERIOD.start + 1000;
         if now < ANNOUNCED || restarting {
@@ -237,7 +237,7 @@
         hall != 0 || !(FAULT_PERIOD.start..FAULT_PERIOD.start + gone).contains(&now)
     }
 
-    /// How many requests a second a hall has for the runner.
+    /// Returns the requests per second that a hall has for the runner.
     fn demand_of(&self, hall: usize, now: u64) -> f64 {
         let factor = if self.fault == Fault::Rises { 10.0 } else { 1.0 };
         match self.fault {
@@ -258,7 +258,7 @@
         others.map(|other| OtherHall { hall: &self.halls[other], is_silent: silent(other) }).collect()
     }
 
-    /// Whether a request of a node goes to the runner.
+    /// Whether a request of a node is sent to the runner. Spends a token if so.
     fn try_admit(&mut self, node: usize, now: u64) -> bool {
         let hall = self.hall_of(node);
         if self.has_fault(Fault::HallCut, now) && hall == 2 {
@@ -326,7 +326,7 @@
         }));
     }
 
-    /// A node reads an answer, and tells its collector before long.
+    /// Receives answers at nodes, and schedules their reports to the collectors.
     fn receive_answers(&mut self, now: u64) {
         while let Some(Reverse(Answer { at, node, requested, rate, incarnation })) =
             self.answers.peek().copied()
@@ -364,7 +364,7 @@
         }
     }
 
-    /// Collectors tell each other what they know and want.
+    /// Exchanges rate limits and demand between collectors.
     fn exchange(&mut self, now: u64) {
         for from in 0..self.halls.len() {
             if !self.is_responding(from, now) || !self.is_present(from, now) {
@@ -395,7 +395,7 @@
         self.renew_leases(now);
     }
 
-    /// The collector of the runner's hall lends parts to those it reaches.
+    /// Leases shares from the collector of the runner's hall to the halls that it reaches.
     fn renew_leases(&mut self, now: u64) {
         if !self.is_responding(0, now) {
             return;
@@ -438,7 +438,7 @@
         }
     }
 
-    /// What the runner takes up to each moment, as it names it.
+    /// Returns the number of requests allowed up to each millisecond by the announced rate.
     fn sum_allowed(&self) -> Vec<f64> {
         let each = (0..END).map(|now| self.announced_rate(now).unwrap_or(self.rate) / 1000.0);
         let sums = each.scan(0.0, |sum, allowed| {
@@ -453,15 +453,15 @@
         (count_before(to) - count_before(from)) as f64
     }
 
-    /// Whether a window that begins then counts: a runner that has started again names its rate
-    /// anew, and has to have done so for as long as at first.
+    /// Whether the limit must be kept in a window that begins at `from`. A restarted runner announces its
+    /// rate again, and nodes get as much time to learn of it as at first.
     fn is_enforced(&self, from: u64) -> bool {
         let announced = FAULT_PERIOD.start + 1000;
         self.fault != Fault::Reborn
             || !(FAULT_PERIOD.start - WINDOW..announced + ENFORCED_FROM - ANNOUNCED).contains(&from)
     }
 
-    /// Plays it all, and says when requests were sent.
+    /// Runs the simulation and returns when requests were sent.
     pub fn trace(mut self) -> Vec<u64> {
         for now in 0..END {
             self.step(now);
@@ -469,7 +469,7 @@
         self.sent
     }
 
-    /// Plays it all.
+    /// Runs the simulation.
     pub fn simulate(mut self) -> Outcome {
         for now in 0..END {
             self.step(now);
@@ -499,16 +499,17 @@
     }
 }
 
-/// The mean, or the worst, of a figure over seeds.
+/// Returns the maximum of a metric over seeds.
 pub fn find_max(outcomes: &[Outcome], metric: impl Fn(&Outcome) -> f64) -> f64 {
     outcomes.iter().map(metric).fold(f64::MIN, f64::max)
 }
 
+/// Returns the minimum of a metric over seeds.
 pub fn find_min(outcomes: &[Outcome], metric: impl Fn(&Outcome) -> f64) -> f64 {
     outcomes.iter().map(metric).fold(f64::MAX, f64::min)
 }
 
-/// Plays some seeds.
+/// Runs the simulation with each seed.
 pub fn simulate(
     policy: Policy,
     fault: Fault,
