--- a/crates/fleet/tests/dispatch.rs
+++ b/crates/fleet/tests/dispatch.rs
@@ -1,4 +1,4 @@
-//! Groups chosen by the collector of a hall, under the load at which most is lost: four
+//! The choice of groups by the collector of a hall, under the load at which other ways lose most: four
 //! fifths of all slots in use, and hundreds of nodes with a few requests each.
 
 use std::cmp::Reverse;
@@ -91,7 +91,7 @@
     }
 }
 
-/// The group that takes the request, if one does.
+/// Returns the group that takes the request, if one does.
 fn assigned_epoch(reply: Reply) -> Option<Epoch> {
     match reply {
         Reply::Take(assignment) => Some(assignment.epoch),
@@ -99,7 +99,7 @@
     }
 }
 
-/// What a dispatcher of hall-a answers at `now`, where so many requests run at each group.
+/// Returns the reply of a dispatcher of hall-a at `now`, with the given load at each group.
 fn choose_with(
     dispatcher: &mut Dispatcher,
     heads: &[Runner],
@@ -121,7 +121,7 @@
     dispatcher.choose(&choice, query, load, now, &mut SmallRng::seed_from_u64(1)).reply
 }
 
-/// The same of one that is new.
+/// Returns the reply of a new dispatcher.
 fn choose_group(heads: &[Runner], running: &[(u64, Load)], urgency: Urgency, tried: &[u64]) -> Reply {
     let loads: HashMap<Epoch, Load> = running.iter().map(|(epoch, load)| (Epoch(*epoch), *load)).collect();
     let load = |epoch: Epoch| loads.get(&epoch).copied().unwrap_or_default();
@@ -135,7 +135,7 @@
 const IN_TIME: Urgency = Urgency::Within(300);
 
 #[test]
-fn groups_of_the_own_hall_go_first_until_others_promise_an_earlier_event() {
+fn local_groups_are_preferred_unless_others_have_an_earlier_first_event() {
     let heads = [head(1, "hall-a"), head(2, "hall-b")];
     assert_eq!(
         assigned_epoch(choose_group(&heads, &[(1, running(12)), (2, running(0))], IN_TIME, &[])),
@@ -148,7 +148,7 @@
 }
 
 #[test]
-fn what_cannot_be_in_time_is_refused_at_once_and_what_was_sent_goes_on() {
+fn a_request_that_would_be_late_is_rejected_at_once_but_a_retry_is_not() {
     let heads = [head(1, "hall-a"), head(2, "hall-a")];
     let full = [(1, running(20)), (2, running(20))];
     assert!(matches!(choose_group(&heads, &full, IN_TIME, &[]), Reply::Full(wait) if wait > 300));
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn a_request_that_cannot_be_in_time_takes_only_room_to_spare() {
+fn a_request_that_would_be_late_takes_only_spare_room() {
     let heads = [head(1, "hall-a")];
     let late = Urgency::Within(20);
     assert_eq!(assigned_epoch(choose_group(&heads, &[(1, running(8))], late, &[])), Some(Epoch(1)));
@@ -165,7 +165,7 @@
 }
 
 #[test]
-fn no_request_is_refused_while_a_group_has_room() {
+fn no_request_is_rejected_while_a_group_has_room() {
     let mut rng = SmallRng::seed_from_u64(9);
     for _ in 0..2000 {
         let count = rng.random_range(1..6);
@@ -183,7 +183,7 @@
 }
 
 #[test]
-fn a_group_that_nodes_doubt_is_passed_over_for_all_nodes_of_the_hall() {
+fn a_doubted_group_is_avoided_for_all_nodes_of_the_hall() {
     let mut table = Table::default();
     table.insert(report("n1", &[1]), Millis(1000));
     table.insert(report("n2", &[]), Millis(1000));
@@ -205,7 +205,7 @@
 }
 
 #[test]
-fn the_groups_of_a_hall_that_does_not_tell_are_left_while_others_have_room() {
+fn groups_of_a_hall_without_reports_are_avoided_while_others_have_room() {
     let hall: id::Hall = "hall-a".parse().unwrap();
     let model = model();
     let (local, remote) = (head(1, "hall-a"), head(2, "hall-b"));
@@ -228,7 +228,7 @@
 }
 
 #[test]
-fn a_group_behind_a_cut_has_no_room_to_spare() {
+fn a_group_behind_a_partition_has_no_spare_room() {
     let hall: id::Hall = "hall-a".parse().unwrap();
     let model = model();
     let (local, remote) = (head(1, "hall-a"), head(2, "hall-b"));
@@ -252,26 +252,26 @@
         Dispatcher::default().choose(&choice, &query, load, Millis(1000), &mut rng).reply
     };
     let silent = ["hall-b".parse().unwrap()];
-    // Nobody tells of the other hall, and a request to its group has failed.
+    // The other hall sends no reports, and a request to its group has failed.
     assert!(matches!(choose_group(&silent, 1), Reply::Full(_)));
-    // Its collector may have died: its groups are tried.
+    // Only its collector may be lost, so its groups are tried.
     assert_eq!(assigned_epoch(choose_group(&silent, 0)), Some(Epoch(2)));
-    // The hall tells: one request that failed does not fill a group.
+    // The hall sends reports, so one failed request does not make a group full.
     assert_eq!(assigned_epoch(choose_group(&[], 1)), Some(Epoch(2)));
 }
 
-/// How requests find their groups.
+/// Who picks the group for a request.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Policy {
-    /// The hall's collector says.
+    /// The hall's collector.
     Collector,
-    /// Each node picks by what it was told half a second ago.
+    /// Each node, from the fleet load of half a second ago.
     Nodes,
 }
 
-/// Sixty nodes before thirteen groups, at `load` of all slots for a minute, each request
-/// in its slot for about a second. Returns the part of the requests that found all slots
-/// of their group taken.
+/// Simulates sixty nodes and thirteen groups for a minute, with the fraction `load` of all slots in use
+/// and each request in its slot for about a second. Returns the fraction of requests that found all
+/// slots of their group taken.
 fn replay(policy: Policy, load: f64) -> f64 {
     let heads: Vec<Runner> = (1..=13).map(|number| head(number, "hall-a")).collect();
     let head_refs: Vec<&Runner> = heads.iter().collect();
@@ -329,16 +329,16 @@
 }
 
 #[test]
-fn requests_find_a_slot_while_four_fifths_of_them_are_in_use() {
+fn requests_find_a_free_slot_at_four_fifths_utilization() {
     let (by_nodes, by_collector) = (replay(Policy::Nodes, 0.8), replay(Policy::Collector, 0.8));
-    assert!(by_nodes > 0.03, "the load shows the harm: {by_nodes}");
-    assert!(by_collector < 0.002, "chosen by the collector {by_collector}, by the nodes {by_nodes}");
+    assert!(by_nodes > 0.03, "the load is too low to show the failure: {by_nodes}");
+    assert!(by_collector < 0.002, "picked by the collector {by_collector}, by the nodes {by_nodes}");
 }
 
 #[test]
-fn requests_find_a_slot_while_nine_tenths_of_them_are_in_use() {
+fn requests_find_a_free_slot_at_nine_tenths_utilization() {
     let (by_nodes, by_collector) = (replay(Policy::Nodes, 0.9), replay(Policy::Collector, 0.9));
-    assert!(by_collector < by_nodes / 3.0, "chosen by the collector {by_collector}, by the nodes {by_nodes}");
+    assert!(by_collector < by_nodes / 3.0, "picked by the collector {by_collector}, by the nodes {by_nodes}");
 }
 
 fn sample(later: i64) -> Sample {
@@ -346,14 +346,16 @@
 }
 
 #[test]
-fn what_first_events_come_later_than_expected_is_taken_off() {
+fn measured_delays_of_first_events_are_added_to_predictions() {
     let heads = [head(1, "hall-a")];
     let choose_group = |dispatcher: &mut Dispatcher, millis: u64| {
         let query = query(Urgency::Within(millis), &[]);
         choose_with(dispatcher, &heads, |_| running(13), &query, Millis(1000))
     };
     let mut dispatcher = Dispatcher::default();
-    let Reply::Take(assignment) = choose_group(&mut dispatcher, 300) else { panic!("it has a free slot") };
+    let Reply::Take(assignment) = choose_group(&mut dispatcher, 300) else {
+        panic!("no group taken despite a free slot")
+    };
     let wanted = assignment.expected + 80;
     assert!(matches!(choose_group(&mut Dispatcher::default(), wanted), Reply::Take(_)));
     for _ in 0..40 {
@@ -361,7 +363,7 @@
     }
     assert!(matches!(choose_group(&mut dispatcher.clone(), wanted), Reply::Full(_)));
     assert!(matches!(choose_group(&mut dispatcher.clone(), wanted + 200), Reply::Take(_)));
-    // A minority of requests that met a group which stands still says nothing.
+    // A minority of requests that met a stalled group changes nothing.
     for number in 0..200 {
         dispatcher.record_sample(&sample(if number % 4 == 0 { 2000 } else { 120 }));
     }
@@ -369,11 +371,14 @@
     for _ in 0..80 {
         dispatcher.record_sample(&sample(0));
     }
-    assert!(matches!(choose_group(&mut dispatcher, wanted), Reply::Take(_)), "they come as expected again");
+    assert!(
+        matches!(choose_group(&mut dispatcher, wanted), Reply::Take(_)),
+        "first events are on time again"
+    );
 }
 
 #[test]
-fn first_events_that_all_come_late_turn_nobody_away_for_good() {
+fn late_first_events_do_not_cause_rejections_for_good() {
     let heads = [head(1, "hall-a")];
     let mut dispatcher = Dispatcher::default();
     for _ in 0..1000 {
@@ -384,16 +389,16 @@
     assert!(matches!(reply, Reply::Take(_)), "{reply:?}");
 }
 
-/// One group whose engine takes 120 ms longer than published before each first event, and
-/// a quarter more prompts than it can read, for a minute. Returns the part of the requests
-/// let in whose first event comes within 500 ms.
+/// Simulates one group for a minute. Its engine takes 120 ms longer than published for each first event,
+/// and gets a quarter more prompts than it can read. Returns the fraction of admitted requests with
+/// a first event within 500 ms.
 fn replay_hidden_time(learning: bool) -> f64 {
     const EXTRA_DELAY: f64 = 120.0;
     const DEADLINE: u64 = 500;
     let (heads, model) = ([head(1, "hall-a")], model());
     let mut rng = SmallRng::seed_from_u64(4);
     let mut dispatcher = Dispatcher::default();
-    // The engine reads half of its time, and a request waits for two passes.
+    // The engine reads prompts half of its time, and a request waits for two passes.
     let prompt = 2000;
     let reading = model.pace * f64::from(prompt) / SPEED.prompt_tokens_per_ms / 0.5;
     let passes = 2.0 * SPEED.stride * model.pace * (SPEED.step_ms + SPEED.per_request_ms * 10.0);
@@ -421,14 +426,14 @@
 }
 
 #[test]
-fn an_engine_that_needs_longer_than_published_is_let_have_what_it_does_in_time() {
+fn an_engine_slower_than_published_gets_only_what_it_can_do_in_time() {
     let (published, learned) = (replay_hidden_time(false), replay_hidden_time(true));
-    assert!(published < 0.1, "the load shows the harm: {published}");
-    assert!(learned > 0.66, "learned {learned}, by the published figures {published}");
+    assert!(published < 0.1, "the load is too low to show the failure: {published}");
+    assert!(learned > 0.66, "learned {learned}, by the published speed {published}");
 }
 
 #[test]
-fn a_suspected_request_is_kept_away_from_groups_that_have_another_one() {
+fn a_suspected_request_avoids_groups_with_another_trial_run() {
     let heads = [head(1, "hall-a"), head(2, "hall-a")];
     let (hall, model): (id::Hall, Model) = ("hall-a".parse().unwrap(), model());
     let head_refs: Vec<&Runner> = heads.iter().collect();
@@ -447,13 +452,13 @@
         let rng = &mut SmallRng::seed_from_u64(1);
         assigned_epoch(Dispatcher::default().choose(&choice, &query, load, Millis(1000), rng).reply)
     };
-    assert_eq!(pick(&[]), Some(Epoch(1)), "the idle one");
+    assert_eq!(pick(&[]), Some(Epoch(1)), "the idle group");
     assert_eq!(pick(&[Epoch(1)]), Some(Epoch(2)));
-    assert_eq!(pick(&[Epoch(1), Epoch(2)]), Some(Epoch(1)), "where all have one, it runs all the same");
+    assert_eq!(pick(&[Epoch(1), Epoch(2)]), Some(Epoch(1)), "if all groups have one, it runs nevertheless");
 }
 
 #[test]
-fn a_group_whose_head_has_had_its_rate_is_passed_over_and_known_to_be_wanted() {
+fn a_rate_limited_group_is_avoided_and_reported_as_the_best() {
     let (hall, model): (id::Hall, Model) = ("hall-a".parse().unwrap(), model());
     let (idle, busy) = (head(1, "hall-a"), head(2, "hall-a"));
     let heads = [&idle, &busy];
@@ -476,5 +481,5 @@
     assert_eq!(assigned_epoch(choose_group(&[]).reply), Some(Epoch(1)), "it has nothing in flight");
     let reply_and_best = choose_group(&[one]);
     assert_eq!((assigned_epoch(reply_and_best.reply), reply_and_best.best), (Some(Epoch(2)), Some(Epoch(1))));
-    assert_eq!(choose_group(&[one, two]).reply, Reply::Throttled(300), "the soonest place");
+    assert_eq!(choose_group(&[one, two]).reply, Reply::Throttled(300), "the shortest wait");
 }
--- a/crates/fleet/tests/survivors.rs
+++ b/crates/fleet/tests/survivors.rs
@@ -1,11 +1,12 @@
-//! Half of the fleet's processes ended within half a second while the store turned some
-//! boxes away, and nodes that lived learned nothing for more than three seconds: one of them
-//! refused requests with 404 for a route that had been accepted 3.01 s before. It had asked
-//! two readers, two nodes of other halls and the deciding one, all of which had just started
-//! or knew no more than itself, took the store for away, and was to wait for up to 50 ms for
-//! each of 90 known nodes before it called it. Readers that the store turned away asked nobody
-//! at all but the deciding node: one was at version 84 when version 87 was 2.1 s old, and
-//! had called the store three times a second, each time in vain.
+//! Guards against nodes that lose contact with the store while many others restart.
+//!
+//! Half of the fleet's processes ended within half a second while the store rejected some boxes. Nodes
+//! that kept running learned nothing for more than three seconds, and one rejected requests with 404 for
+//! a route accepted 3.01 s before. It had queried two readers, two nodes of other halls and the
+//! decider, which had just started or knew no more than itself. It took the store for unavailable, and
+//! would have waited up to 50 ms for each of 90 known nodes before calling the store. Readers rejected
+//! by the store queried only the decider: one was at version 84 when version 87 was 2.1 s old, and had
+//! called the store three times a second in vain.
 
 use cottoncrank::{Millis, id};
 use cottoncrank_fleet::directory::{Directory, Millicores, Peer};
@@ -13,32 +14,32 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-/// How long a watch of the store, or a question to a node, waits for a change.
+/// How long a watch of the store, or a query to a node, waits for a change.
 const LONG_POLL: Millis = Millis(700);
 
-/// How long a refused call or question takes.
+/// The duration of a rejected call or query.
 const REJECTION_TIME: Millis = Millis(4);
 
-/// How long a node gathers changes before it asks again.
+/// How long a node batches changes before it polls again.
 const GATHER_TIME: Millis = Millis(150);
 
-/// How often something changes in the store.
+/// The interval of changes in the store.
 const CHANGE_INTERVAL: Millis = Millis(100);
 
-/// From when to when the store turns some boxes away.
+/// When the store begins and stops to reject some boxes.
 const OUTAGE: (Millis, Millis) = (Millis(1000), Millis(12_000));
 
-/// From when to when the processes that end are gone.
+/// When the processes that restart end and start.
 const DOWNTIME: (Millis, Millis) = (Millis(2000), Millis(2300));
 
-/// How long a question takes to a box without power, which says nothing.
+/// The timeout of a query to a box without power, which does not respond.
 const CONNECT_TIMEOUT: Millis = Millis(1400);
 
-/// When the lease of the deciding node, which ended, is over, and when the next one decides.
+/// When the lease of the lost decider expires, and when the next node becomes decider.
 const LEASE_EXPIRY: Millis = Millis(3500);
 const NEXT_TERM: Millis = Millis(4000);
 
-/// What a node does.
+/// What a node does at present.
 #[derive(Clone)]
 enum Activity {
     Idle(Millis),
@@ -49,12 +50,13 @@
 struct Node {
     peer: Peer,
     sources: Sources,
-    /// Whether the store turns it away, and whether its process ends.
+    /// Whether the store rejects it.
     store_rejects: bool,
+    /// Whether its process ends and starts again.
     restarts: bool,
-    /// Up to when it knows all that was in the store; nothing if it has just started.
+    /// The time up to which it knows every change of the store; none if it has just started.
     last_contact: Option<Millis>,
-    /// Whether it answers other nodes.
+    /// Whether it answers queries of other nodes.
     serving: bool,
     activity: Activity,
 }
@@ -65,7 +67,7 @@
     nodes: Vec<Node>,
     decider: usize,
     successor: usize,
-    /// Whether those that end lose power with their boxes.
+    /// Whether restarting processes lose power with their boxes, so that they do not respond.
     loses_power: bool,
     rng: SmallRng,
 }
@@ -110,7 +112,7 @@
         self.nodes[at].store_rejects && now >= OUTAGE.0 && now < OUTAGE.1
     }
 
-    /// Who decides, as far as a node that knows this much has heard.
+    /// Returns the decider as known to a node with this last contact.
     fn decider(&self, last_contact: Millis) -> Option<usize> {
         match last_contact {
             last_contact if last_contact < LEASE_EXPIRY => Some(self.decider),
@@ -236,7 +238,7 @@
         }
     }
 
-    /// How old what a node that lived knew became.
+    /// Returns the maximum staleness of a node that kept running.
     fn simulate(&mut self) -> Millis {
         let mut max_staleness = Millis(0);
         for now in (0..OUTAGE.1.0).map(Millis) {
@@ -251,7 +253,7 @@
     }
 }
 
-/// A node that starts asks a reader of its hall, and else the store.
+/// Picks the source of a node that starts: a reader of its hall, or else the store.
 fn start(me: &Peer, sources: &mut Sources, directory: &Directory, now: Millis) -> Source {
     let readers = directory.list_local_readers(&me.node, &me.hall);
     match readers.get(now.0 as usize % (readers.len() + 1)) {
@@ -276,20 +278,20 @@
 }
 
 #[test]
-fn those_that_live_through_a_restart_of_many_know_the_configuration_in_time() {
+fn nodes_that_keep_running_stay_current_while_many_restart() {
     for (halls, boxes, bound) in [(3, 3, 2000), (4, 23, 3000), (5, 60, 4000)] {
         for seed in 1..=4 {
             let max_staleness = Fleet::new(halls, boxes, Millis(bound), seed).simulate();
             assert!(
                 max_staleness < Millis(bound),
-                "{halls} halls of {boxes}, seed {seed}: what a node knew became {max_staleness} old"
+                "{halls} halls of {boxes}, seed {seed}: a node was stale by {max_staleness}"
             );
         }
     }
 }
 
 #[test]
-fn those_that_live_through_a_loss_of_power_of_many_know_the_configuration_in_time() {
+fn nodes_that_keep_running_stay_current_while_many_lose_power() {
     for (halls, boxes, bound) in [(3, 3, 2000), (4, 23, 3000)] {
         for seed in 1..=8 {
             let mut fleet = Fleet::new(halls, boxes, Millis(bound), seed);
@@ -297,7 +299,7 @@
             let max_staleness = fleet.simulate();
             assert!(
                 max_staleness < Millis(bound),
-                "{halls} halls of {boxes}, seed {seed}: what a node knew became {max_staleness} old"
+                "{halls} halls of {boxes}, seed {seed}: a node was stale by {max_staleness}"
             );
         }
     }
--- a/crates/fleet/tests/throttle.rs
+++ b/crates/fleet/tests/throttle.rs
@@ -1,4 +1,4 @@
-//! What runners say of the rate they take, in any order, and how halls share it.
+//! Rate limits that runners announce, received in any order, and how halls divide them.
 
 use std::collections::BTreeMap;
 
@@ -35,11 +35,11 @@
 }
 
 #[test]
-fn rates_are_read_and_odd_ones_named() {
+fn rates_are_parsed_and_invalid_ones_rejected() {
     assert_eq!("1.6".parse(), Ok(Rate(1600)));
     assert_eq!(" 0.001 ".parse(), Ok(Rate(1)));
     assert_eq!("0".parse(), Ok(Rate(0)));
-    assert_eq!("1e9".parse(), Ok(Rate(1_000_000_000)), "beyond what is told apart");
+    assert_eq!("1e9".parse(), Ok(Rate(1_000_000_000)), "the largest rate");
     assert_eq!(Rate(1600).to_string().parse(), Ok(Rate(1600)));
     for text in ["", "few", "1,6", "1.6 per second"] {
         assert_matches!(text.parse::<Rate>(), Err(RateError::Number(_)), "{text}");
@@ -50,49 +50,57 @@
 }
 
 #[test]
-fn a_later_answer_holds_and_a_former_one_changes_nothing() {
+fn a_later_answer_replaces_an_earlier_one() {
     let mut table = Table::default();
     assert_eq!(table.apply(rate_limit(1, Some(2.0), 100, 200)), Change::Set(Rate(2000)));
-    assert_eq!(table.apply(rate_limit(1, Some(9.0), 10, 90)), Change::None, "said before");
+    assert_eq!(table.apply(rate_limit(1, Some(9.0), 10, 90)), Change::None, "answered earlier");
     assert_eq!(table.apply(rate_limit(1, Some(5.0), 200, 300)), Change::Set(Rate(5000)));
     assert_eq!(table.apply(rate_limit(1, None, 300, 400)), Change::Withdrawn);
     assert_eq!(find(&table, 1), None);
 }
 
 #[test]
-fn the_lower_rate_holds_while_the_order_is_not_known() {
+fn the_lower_rate_applies_while_the_order_is_unknown() {
     let mut table = Table::default();
     table.apply(rate_limit(1, Some(2.0), 100, 200));
     for (rate, sent) in [(Some(8.0), 150), (None, 199)] {
-        assert_eq!(table.apply(rate_limit(1, rate, sent, 300)), Change::None, "both were under way at once");
+        assert_eq!(
+            table.apply(rate_limit(1, rate, sent, 300)),
+            Change::None,
+            "both requests were in flight at once"
+        );
     }
     assert_eq!(table.apply(rate_limit(1, Some(1.0), 150, 300)), Change::Set(Rate(1000)));
     assert_eq!(table.apply(rate_limit(1, Some(8.0), 300, 350)), Change::Set(Rate(8000)));
 }
 
 #[test]
-fn a_new_life_owes_nothing_to_a_former_one() {
+fn a_new_incarnation_is_not_bound_by_the_former_one() {
     let mut table = Table::default();
     table.apply(rate_limit(1, Some(2.0), 100, 200));
     assert_eq!(find(&table, 2), None);
     assert_eq!(table.apply(rate_limit(2, Some(3.0), 150, 300)), Change::Set(Rate(3000)));
-    assert_eq!(table.apply(rate_limit(1, Some(1.0), 400, 500)), Change::None, "a former life's answer, late");
+    assert_eq!(
+        table.apply(rate_limit(1, Some(1.0), 400, 500)),
+        Change::None,
+        "a late answer of the former incarnation"
+    );
     assert_eq!(find(&table, 2), Some(Rate(3000)));
 }
 
 #[test]
-fn a_part_is_what_is_wanted_and_what_nobody_else_wants() {
+fn a_share_is_the_demand_or_what_others_leave() {
     let [none, little, much] = [Rate(0), Rate(200), Rate(u64::MAX)];
     let rate = Rate(1200);
     assert_eq!(divide(rate, much, &[much, much]), Rate(400));
     assert_eq!(divide(rate, much, &[none, none]), rate);
     assert_eq!(divide(rate, little, &[much, much]), little);
     assert_eq!(divide(rate, much, &[little, much]), Rate(500));
-    assert_eq!(divide(rate, none, &[none, none]), Rate(400), "nobody wants any: all may begin");
+    assert_eq!(divide(rate, none, &[none, none]), Rate(400), "without demand, all halls may begin");
 }
 
 #[test]
-fn a_runner_that_takes_nothing_is_asked_again_now_and_then() {
+fn a_runner_with_rate_zero_is_tried_every_five_seconds() {
     let own: id::Hall = "hall-a".parse().unwrap();
     let halls = Halls { own: &own, others: Vec::new() };
     let mut allocations = Allocations::default();
@@ -108,7 +116,7 @@
 }
 
 #[test]
-fn callers_without_a_place_come_back_one_after_the_other() {
+fn retries_of_rejected_callers_are_spread_over_time() {
     let service: id::Service = "llm".parse().unwrap();
     let availability = Availability { wait: Millis(300), rate: Rate(2000) };
     let mut retries = RetrySchedule::default();
@@ -120,13 +128,13 @@
     assert_eq!(
         [schedule_at(1000, 3000), schedule_at(1000, 6000)],
         [1800, 1800],
-        "who leaves before takes no place"
+        "a caller that gives up before gets no time of its own"
     );
-    assert_eq!(schedule_at(9000, 6000), 300, "those have come and gone");
+    assert_eq!(schedule_at(9000, 6000), 300, "the earlier retries are over");
 }
 
 #[test]
-fn nodes_that_are_alone_send_no_more_than_the_rate_together() {
+fn nodes_without_a_collector_keep_the_rate_together() {
     let mut nodes = vec![LocalBuckets::default(); 100];
     let mut rng = SmallRng::seed_from_u64(1);
     let mut sent = Vec::new();
@@ -143,8 +151,8 @@
     assert!(sent.len() > 150, "{} of 200", sent.len());
 }
 
-/// Answers as a runner gives them, one after the other: what it named, when each was asked for
-/// and when it came, in which life it was given.
+/// Generates the answers of a runner in their order: the rate and incarnation, when the request was sent
+/// and when the answer was received.
 fn answers() -> impl Strategy<Value = Vec<RateLimit>> {
     let one = (0..300u64, 1..500u64, prop::option::of(0..50_000u64), prop::bool::weighted(0.1));
     prop::collection::vec(one, 1..40).prop_map(|answers| {
@@ -174,9 +182,10 @@
         ..ProptestConfig::default()
     })]
 
-    /// Told in any order, twice, and in part, an answer that surely was the last one holds.
+    /// An answer to a request sent after all other answers applies, in whatever order and however often
+    /// all of them are received.
     #[test]
-    fn the_last_word_holds(mut answers in answers(), order in any::<prop::sample::Index>(), rate in prop::option::of(0..50_000u64)) {
+    fn the_latest_answer_applies(mut answers in answers(), order in any::<prop::sample::Index>(), rate in prop::option::of(0..50_000u64)) {
         let last = answers.last().unwrap().clone();
         let end = answers.iter().map(|rate_limit| rate_limit.received).max().unwrap();
         let latest = RateLimit { rate: rate.map(Rate), sent: end, received: end + Millis(50), ..last };
@@ -189,11 +198,11 @@
         prop_assert_eq!(table.find(&latest.runner, latest.incarnation), latest.rate);
     }
 
-    /// What holds is never higher than what may have been said last, of all that was read since
-    /// the runner is known to have named a rate: that one names none is not kept of those that
-    /// never did. It may be lower, until the next answer.
+    /// The rate is never higher than that of any answer that may have been the last one. It may be lower,
+    /// until the next answer. Only answers since the runner is known to have announced a rate count,
+    /// because answers without a rate are not kept for a runner that never announced one.
     #[test]
-    fn nothing_higher_comes_back(answers in answers(), seed in any::<u64>()) {
+    fn an_outdated_higher_rate_does_not_apply(answers in answers(), seed in any::<u64>()) {
         let mut table = Table::default();
         let mut applied: Vec<RateLimit> = Vec::new();
         let mut order: Vec<&RateLimit> = answers.iter().collect();
@@ -213,31 +222,32 @@
             let order = |rate: Option<Rate>| rate.unwrap_or(Rate(u64::MAX));
             let possible = newest.filter(|rate_limit| !is_outdated(rate_limit)).map(|rate_limit| order(rate_limit.rate));
             let highest = possible.max().unwrap_or(order(None));
-            prop_assert!(order(found) <= highest, "{:?}, and at the most {}", found, highest);
+            prop_assert!(order(found) <= highest, "{:?}, maximum {}", found, highest);
         }
     }
 
-    /// Halls that see the same divide no more than the rate, and so do those that are cut off.
+    /// The shares of halls with the same information do not exceed the rate in total, and neither do those
+    /// of partitioned halls.
     #[test]
-    fn parts_sum_up_to_no_more_than_the_rate(
+    fn shares_do_not_exceed_the_rate_in_total(
         rate in 1..100_000u64,
         demands in prop::collection::vec(0..200_000u64, 1..6),
         cut in prop::collection::vec(any::<bool>(), 6),
     ) {
-        let part = |own: usize| {
+        let share = |own: usize| {
             let demand = |other: usize| if cut[own] || cut[other] { u64::MAX } else { demands[other] };
             let others: Vec<Rate> =
                 (0..demands.len()).filter(|other| *other != own).map(|other| Rate(demand(other))).collect();
             divide(Rate(rate), Rate(demands[own]), &others).0
         };
-        let all: u64 = (0..demands.len()).map(part).sum();
+        let all: u64 = (0..demands.len()).map(share).sum();
         prop_assert!(all <= rate, "{} of {}", all, rate);
     }
 
-    /// Over any four seconds halls send no more than the runner takes, and what each may save up,
-    /// whatever they want, whoever is heard, and however the rate is named.
+    /// In any four seconds, halls send no more than the rate and the burst of each hall allow, for any
+    /// demand, silence and rate.
     #[test]
-    fn no_window_gets_more_than_the_rate_and_what_is_saved(
+    fn no_window_exceeds_the_rate_and_the_bursts(
         rate in 200..20_000u64,
         busy in prop::collection::vec(1..200u64, 2..6),
         silences in prop::collection::vec((0..20_000u64, 0..5000u64, 0..6usize), 0..6),
@@ -282,10 +292,10 @@
         prop_assert!(worst <= bound, "{} of {}", worst, bound);
         let offered: f64 = busy.iter().map(|pause| 1000.0 / *pause as f64).sum();
         if silences.is_empty() && offered > 5.0 * rate as f64 / 1000.0 {
-            // Each hall may be about to send one.
+            // Each hall may be about to send one more.
             let most = sent.len() + halls.len();
             let utilization = most as f64 / Rate(rate).count(Millis(20_000));
-            prop_assert!(utilization >= 0.85, "{} used, by hall {:?}", utilization, by_hall);
+            prop_assert!(utilization >= 0.85, "utilization {}, by hall {:?}", utilization, by_hall);
         }
     }
 }
