--- a/crates/fleet/tests/occupancy.rs
+++ b/crates/fleet/tests/occupancy.rs
@@ -1,4 +1,4 @@
-//! What nodes tell each other of requests in flight, and what they make of it.
+//! In-flight reports between nodes, and the choices that nodes make from them.
 
 use cottoncrank::{Millis, id};
 use cottoncrank_fleet::balance::{HALL_AVOID_TIME, Ledger, STALL_TIMEOUT, has_room, pick};
@@ -60,7 +60,7 @@
     fleet_load
 }
 
-/// How often each of the runners is picked in a thousand picks.
+/// Counts how often each runner is picked in a thousand picks.
 fn count_picks(heads: &[Runner], ledger: &Ledger, fleet_load: &FleetLoad, now: Millis) -> Vec<usize> {
     let candidates: Vec<&Runner> = heads.iter().collect();
     let mut rng = SmallRng::seed_from_u64(7);
@@ -77,12 +77,12 @@
     let heads: Vec<Runner> = (0..3).map(head).collect();
     let now = Millis(1000);
     let picked = count_picks(&heads, &Ledger::default(), &fleet_load(&[(0, SLOTS), (1, 8)], now), now);
-    assert_eq!(picked[0], 0, "it has no slot left: {picked:?}");
-    assert!(picked[1] > 200 && picked[1] < 500, "it has half of the room of an idle one: {picked:?}");
+    assert_eq!(picked[0], 0, "it has no free slot: {picked:?}");
+    assert!(picked[1] > 200 && picked[1] < 500, "it has half the room of an idle one: {picked:?}");
 }
 
 #[test]
-fn groups_with_much_room_are_equal_and_own_requests_are_spread() {
+fn groups_with_much_room_are_equal_and_requests_of_a_node_are_spread() {
     let heads: Vec<Runner> = (0..3).map(head).collect();
     let now = Millis(1000);
     let mut ledger = Ledger::default();
@@ -90,22 +90,22 @@
     assert!(picked.iter().all(|count| *count > 280), "half full is as good as idle: {picked:?}");
     ledger.begin_request(&heads[2].id);
     let picked = count_picks(&heads, &ledger, &fleet_load(&[(0, 5)], now), now);
-    assert_eq!(picked[2], 0, "this node has one there already: {picked:?}");
+    assert_eq!(picked[2], 0, "this node has one in flight there: {picked:?}");
 }
 
 #[test]
-fn an_old_view_counts_for_nothing() {
+fn an_expired_fleet_load_is_ignored() {
     let heads: Vec<Runner> = (0..2).map(head).collect();
     let expired = fleet_load(&[(0, SLOTS)], Millis(1000));
     let now = Millis(1000) + REPORT_TTL;
     let picked = count_picks(&heads, &Ledger::default(), &expired, now);
-    assert!(picked[0] > 400, "what was full long ago is picked like the other one: {picked:?}");
+    assert!(picked[0] > 400, "a group that was full long ago is picked like the other one: {picked:?}");
     let candidates: Vec<&Runner> = heads.iter().collect();
     assert_eq!(has_room(&candidates, &Ledger::default(), &expired, now), None);
 }
 
 #[test]
-fn there_is_no_room_once_nearly_all_slots_are_taken() {
+fn there_is_no_room_while_nearly_all_slots_are_taken() {
     let heads: Vec<Runner> = (0..2).map(head).collect();
     let candidates: Vec<&Runner> = heads.iter().collect();
     let now = Millis(1000);
@@ -117,17 +117,17 @@
     assert_eq!(
         room(&[(0, 30), (1, 7)], &ledger),
         Some(true),
-        "a queue at one runner takes no slot of another"
+        "a queue at one runner takes no slots of another"
     );
     ledger.begin_request(&heads[1].id);
-    assert_eq!(room(&[(0, 10), (1, 7)], &ledger), Some(false), "own requests count");
+    assert_eq!(room(&[(0, 10), (1, 7)], &ledger), Some(false), "requests of this node count");
     ledger.record_failure(&heads[1].id, now);
     assert_eq!(room(&[(0, 8), (1, 0)], &ledger), Some(true));
-    assert_eq!(room(&[(0, 9), (1, 0)], &ledger), Some(false), "a runner that failed has no room to offer");
+    assert_eq!(room(&[(0, 9), (1, 0)], &ledger), Some(false), "a runner that failed has no room");
 }
 
 #[test]
-fn a_collector_sums_what_lives_and_drops_what_does_not() {
+fn a_collector_sums_the_reports_that_have_not_expired() {
     let mut table = Table::default();
     let (start, later) = (Millis(1000), Millis(2000));
     table.insert(report("n1", "hall-a", Scope::Node, &[(1, 2), (2, 1)]), start);
@@ -142,32 +142,32 @@
         "the latest report counts"
     );
     let end = start + REPORT_TTL;
-    assert_eq!(table.sum_hall(&InFlight::default(), end), sum(1, &[(2, 7)]), "n1 is gone or cut off");
-    assert_eq!(table.sum_others(end), InFlight::default(), "and so is hall-b");
+    assert_eq!(table.sum_hall(&InFlight::default(), end), sum(1, &[(2, 7)]), "the report of n1 has expired");
+    assert_eq!(table.sum_others(end), InFlight::default(), "and so has that of hall-b");
 }
 
 #[test]
-fn a_part_is_taken_off_a_sum_and_never_more_than_there_is() {
+fn subtraction_never_goes_below_zero() {
     let mut total = sum(3, &[(1, 5), (2, 1)]);
     total.subtract(&sum(1, &[(1, 2), (2, 3), (3, 1)]));
     assert_eq!(total, sum(2, &[(1, 3), (2, 0)]));
 }
 
 #[test]
-fn a_view_of_few_nodes_is_not_used() {
+fn a_fleet_load_of_few_nodes_is_not_used() {
     let now = Millis(1000);
     let mut fleet_load = FleetLoad::default();
-    assert!(!fleet_load.is_usable(now), "nothing was told yet");
+    assert!(!fleet_load.is_usable(now), "no reply received yet");
     fleet_load.update(sum(4, &[]), 10, now);
     assert!(fleet_load.is_usable(now), "five nodes of ten, this one included");
     fleet_load.update(sum(3, &[]), 10, now);
-    assert!(!fleet_load.is_usable(now), "four of ten: a hall that is cut off");
+    assert!(!fleet_load.is_usable(now), "four of ten: the hall may be partitioned");
     fleet_load.update(InFlight::default(), 1, now);
-    assert!(fleet_load.is_usable(now), "the only node knows all");
+    assert!(fleet_load.is_usable(now), "the only node knows everything");
 }
 
 #[test]
-fn runners_of_a_hall_that_cannot_be_reached_are_passed_over_for_a_while() {
+fn runners_of_an_unreachable_hall_are_avoided_for_a_while() {
     let (local, remote): (id::Hall, id::Hall) = ("hall-a".parse().unwrap(), "hall-b".parse().unwrap());
     let remote_head = |number| Runner { hall: remote.clone(), ..head(number) };
     let heads = vec![head(0), remote_head(1), remote_head(2), remote_head(3)];
@@ -176,36 +176,36 @@
     let mut ledger = Ledger::default();
     ledger.record_connect_timeout(&remote, now);
     let picked = count_picks(&heads, &ledger, &fleet_load, now);
-    assert!(picked[1] > 100, "one runner that is not reached may be lost: {picked:?}");
+    assert!(picked[1] > 100, "a single connect timeout may be a lost runner: {picked:?}");
     ledger.record_connect_timeout(&remote, now);
     let picked = count_picks(&heads, &ledger, &fleet_load, now);
-    assert_eq!(picked[0], 1000, "the way there is cut: {picked:?}");
+    assert_eq!(picked[0], 1000, "the hall is unreachable: {picked:?}");
     let later = now + HALL_AVOID_TIME;
-    assert!(count_picks(&heads, &ledger, &fleet_load, later)[1] > 100, "then it is tried again");
+    assert!(count_picks(&heads, &ledger, &fleet_load, later)[1] > 100, "the hall is tried again");
     ledger.record_connect_timeout(&remote, later);
-    assert_eq!(count_picks(&heads, &ledger, &fleet_load, later)[0], 1000, "still cut");
+    assert_eq!(count_picks(&heads, &ledger, &fleet_load, later)[0], 1000, "still unreachable");
     ledger.record_connect(&remote);
     assert!(count_picks(&heads, &ledger, &fleet_load, later)[1] > 100);
-    // Where nothing else is left, those that were not reached are tried all the same.
+    // If there are no other runners, the unreachable ones are tried.
     ledger.record_connect_timeout(&local, later);
     ledger.record_connect_timeout(&local, later);
     assert_eq!(count_picks(&heads[..1], &ledger, &fleet_load, later), [1000]);
 }
 
 #[test]
-fn a_runner_at_which_no_stream_gets_on_is_passed_over() {
+fn a_runner_whose_streams_make_no_progress_is_avoided() {
     let heads = [head(1), head(2)];
     let (now, mut ledger) = (Millis(10_000), Ledger::default());
     let id = &heads[0].id;
     ledger.record_progress(id, now);
     let later = now + STALL_TIMEOUT;
     let idle = fleet_load(&[], later);
-    assert!(count_picks(&heads, &ledger, &idle, later)[0] > 0, "no stream is under way there");
+    assert!(count_picks(&heads, &ledger, &idle, later)[0] > 0, "it has no streams");
     ledger.begin_stream(id);
-    assert!(count_picks(&heads, &ledger, &idle, later - Millis(1))[0] > 0, "it may be at a long pass");
+    assert!(count_picks(&heads, &ledger, &idle, later - Millis(1))[0] > 0, "it may be executing a long pass");
     assert_eq!(count_picks(&heads, &ledger, &idle, later)[0], 0);
     ledger.record_progress(id, later);
-    assert!(count_picks(&heads, &ledger, &idle, later)[0] > 0, "it gets on again");
+    assert!(count_picks(&heads, &ledger, &idle, later)[0] > 0, "it makes progress again");
     ledger.end_stream(id);
     assert!(count_picks(&heads, &ledger, &idle, later + STALL_TIMEOUT)[0] > 0);
     // If all are stalled, any is better than none.
--- a/crates/fleet/tests/source.rs
+++ b/crates/fleet/tests/source.rs
@@ -1,4 +1,4 @@
-//! Whom nodes ask while the store is away, and how often they call it themselves.
+//! Which nodes are queried while the store is unavailable, and how often nodes call the store.
 
 use cottoncrank::{Millis, id};
 use cottoncrank_fleet::directory::{Directory, Millicores, Peer};
@@ -6,13 +6,13 @@
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
-/// How long a question to the store takes that is refused, and one to a node.
+/// The duration of a rejected call to the store, and of a query to a node.
 const CALL_TIME: Millis = Millis(4);
 
-/// How long a question waits where there is nothing new.
+/// How long a poll waits when there is no change.
 const LONG_POLL: Millis = Millis(700);
 
-/// Within how long a configuration must be in force.
+/// The time within which a configuration must be in force.
 const BOUND: Millis = Millis(4000);
 
 fn peer(hall: usize, number: usize, processor: u32) -> Peer {
@@ -24,7 +24,7 @@
     }
 }
 
-/// Halls of so many boxes each, of which the first three have more processor time.
+/// Returns halls of `nodes` boxes each, of which the first three have more processor time.
 fn directory(halls: usize, nodes: usize) -> Directory {
     build(halls, nodes, |number| if number < 3 { 500 } else { 120 })
 }
@@ -39,18 +39,18 @@
     directory
 }
 
-/// A node that follows the store.
+/// A node that follows the changes of the store.
 struct Follower {
     peer: Peer,
     sources: Sources,
-    /// When it looks for a source again.
+    /// When it picks a source again.
     next: Millis,
-    /// When the store surely held nothing newer.
+    /// Its proof of freshness.
     proof: Millis,
 }
 
-/// A fleet whose store is away from `down` to `up`. Returns the calls to it meanwhile, and
-/// how long after its return the last node has a proof again.
+/// Simulates a fleet whose store is unavailable from `down` to `up`. Returns the calls to it meanwhile, and
+/// the delay after `up` until the last node has a proof again.
 fn simulate_outage(halls: usize, nodes: usize, down: Millis, up: Millis) -> (usize, Millis) {
     let directory = directory(halls, nodes);
     let mut rng = SmallRng::seed_from_u64(3);
@@ -83,7 +83,7 @@
                 Source::Reader(queried) | Source::Upstream(queried) => {
                     let their_proof =
                         followers.iter().find(|other| other.peer.node == queried.node).unwrap().proof;
-                    // A node without a proof sends those that ask it away.
+                    // A node without a recent proof rejects queries.
                     if is_down(now) || their_proof + Millis(1500) < now {
                         followers[at].sources.record_failure(queried.node, Failure::Stale, now);
                         (None, CALL_TIME)
@@ -111,16 +111,16 @@
 }
 
 #[test]
-fn the_calls_of_an_outage_hardly_grow_with_the_fleet() {
+fn calls_during_an_outage_hardly_grow_with_the_fleet() {
     let (calls_small, _) = simulate_outage(3, 3, Millis(3000), Millis(11_000));
     let (calls_large, _) = simulate_outage(5, 60, Millis(3000), Millis(11_000));
-    // Three hundred nodes that each pause for 0.2 to 0.4 s make eight thousand calls.
+    // If each of 300 nodes retried every 0.2 to 0.4 s, they would make eight thousand calls.
     assert!(calls_large <= 800, "{calls_large} calls of 300 nodes");
     assert!(calls_large <= 10 * calls_small, "{calls_large} calls of 300 nodes, {calls_small} of nine");
 }
 
 #[test]
-fn all_nodes_have_a_proof_soon_after_the_store_is_back() {
+fn all_nodes_have_a_proof_soon_after_an_outage() {
     for (halls, nodes) in [(3, 3), (5, 14), (5, 60)] {
         let (_, delay) = simulate_outage(halls, nodes, Millis(3000), Millis(11_000));
         assert!(delay <= Millis(3500), "{halls} halls of {nodes}: the last one after {delay}");
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn readers_ask_the_deciding_node_and_else_the_first_reader_of_their_hall() {
+fn readers_poll_the_decider_or_else_the_first_reader_of_their_hall() {
     let directory = build(2, 30, |_| 120);
     let hall: id::Hall = "hall-0".parse().unwrap();
     let readers: Vec<id::Node> =
@@ -149,7 +149,7 @@
     assert!(
         matches!(pick(&mut second, &readers[1], None, now), Source::Upstream(peer) if peer.node == readers[0])
     );
-    // The first one does not answer: the second reads the store, until it does.
+    // The first reader does not answer, so the second one reads the store for a while.
     second.record_failure(readers[0].clone(), Failure::TimedOut, now);
     assert_eq!(pick(&mut second, &readers[1], None, now), Source::Store);
     let later = now + Millis(3000);
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn a_node_without_a_reader_that_knows_calls_the_store_seldom() {
+fn a_node_without_a_current_reader_rarely_calls_the_store() {
     let directory = directory(5, 60);
     let hall: id::Hall = "hall-0".parse().unwrap();
     let readers: Vec<id::Node> =
@@ -180,9 +180,8 @@
     assert!((1..=5).contains(&calls), "{calls} calls in a minute");
 }
 
-/// A store that turns the boxes of one hall away and serves all others: how old what the
-/// nodes of that hall know becomes, but for those that are turned away. The readers of the
-/// hall are; the others are not, as far as `served` says.
+/// Simulates a store that rejects the readers of one hall. Returns the maximum staleness of the other nodes
+/// of that hall, which the store serves. Queries succeed only at nodes for which `served` holds.
 fn simulate_rejection(served: impl Fn(&Peer) -> bool) -> Millis {
     let directory = directory(3, 23);
     let hall: id::Hall = "hall-0".parse().unwrap();
@@ -190,7 +189,7 @@
         directory.list_readers(&hall).into_iter().map(|peer| peer.node.clone()).collect();
     let decider: id::Node = "n1-0".parse().unwrap();
     let mut rng = SmallRng::seed_from_u64(7);
-    let mut oldest = Millis(0);
+    let mut max_staleness = Millis(0);
     for number in 0..23 {
         let me = peer(0, number, 120).node;
         if readers.contains(&me) {
@@ -215,31 +214,31 @@
                 }
                 Source::Wait(pause) => now = now + pause.max(Millis(1)),
             }
-            oldest = oldest.max(now.since(proof));
+            max_staleness = max_staleness.max(now.since(proof));
         }
     }
-    oldest
+    max_staleness
 }
 
 #[test]
-fn nodes_whose_readers_are_turned_away_learn_from_other_halls() {
+fn nodes_with_rejected_readers_learn_from_other_halls() {
     let hall: id::Hall = "hall-0".parse().unwrap();
-    let oldest = simulate_rejection(|peer| peer.hall != hall);
-    assert!(oldest < Millis(1500), "what a node knows became {oldest} old");
+    let max_staleness = simulate_rejection(|peer| peer.hall != hall);
+    assert!(max_staleness < Millis(1500), "what a node knows became {max_staleness} old");
 }
 
 #[test]
-fn nodes_that_the_store_serves_go_on_asking_it_where_no_other_node_knows() {
-    // Each finds out at its own time, so that an outage does not make all of them call.
-    let mut oldest = simulate_rejection(|_| false);
-    assert!(oldest < Millis(4500), "what a node knows became {oldest} old");
-    // Who has found out does not wait again.
-    oldest = simulate_rejection(|peer| peer.node.as_str() == "n1-0");
-    assert!(oldest < Millis(1500), "what a node knows became {oldest} old");
+fn nodes_call_the_store_while_no_other_node_is_current() {
+    // Each node finds out at its own time, so that they do not all call at once in an outage.
+    let mut max_staleness = simulate_rejection(|_| false);
+    assert!(max_staleness < Millis(4500), "what a node knows became {max_staleness} old");
+    // A node that found out does not wait again.
+    max_staleness = simulate_rejection(|peer| peer.node.as_str() == "n1-0");
+    assert!(max_staleness < Millis(1500), "what a node knows became {max_staleness} old");
 }
 
 #[test]
-fn candidates_with_more_processor_time_stand_first_and_each_has_its_turn() {
+fn candidates_with_more_processor_time_rank_first_and_ranks_are_unique() {
     let directory = directory(5, 60);
     let ranks: Vec<usize> = (0..5)
         .flat_map(|hall| (0..60).map(move |number| peer(hall, number, 0).node))
@@ -247,7 +246,7 @@
         .collect();
     let mut sorted = ranks.clone();
     sorted.sort_unstable();
-    assert_eq!(sorted, (0..300).collect::<Vec<_>>(), "no two stand at the same time");
+    assert_eq!(sorted, (0..300).collect::<Vec<_>>(), "two candidates have the same rank");
     let large: Vec<usize> = (0..5).flat_map(|hall| ranks[hall * 60..hall * 60 + 3].to_vec()).collect();
     assert!(large.iter().all(|rank| *rank < 15), "{large:?}");
 }
--- a/crates/fleet/tests/suspects.rs
+++ b/crates/fleet/tests/suspects.rs
@@ -1,4 +1,4 @@
-//! Which requests are held to end runners, from what all nodes have seen.
+//! Which requests are suspected or deadly, from what all nodes have seen.
 
 use std::collections::BTreeSet;
 
@@ -26,7 +26,7 @@
     }
 }
 
-/// A request at the ends of the first lives of these runners.
+/// Returns the row of a request that was in flight when the first incarnations of these runners crashed.
 fn row(name: &str, runners: &[u64]) -> Row {
     let account: id::Account = "acme".parse().unwrap();
     let crashes = runners.iter().map(|runner| crash(*runner, 1)).collect();
@@ -48,7 +48,7 @@
     table
 }
 
-/// How strongly a request is suspected once nothing more is heard.
+/// Returns how strongly a request is suspected once the table has settled.
 fn level(table: &Table, name: &str) -> Level {
     let mut settled = table.clone();
     settled.settle(NOW + Millis(300));
@@ -56,11 +56,11 @@
 }
 
 #[test]
-fn three_lives_that_ended_under_a_request_tell_that_it_ends_them() {
+fn a_request_is_deadly_after_three_crashes() {
     let mut table = table(&[row("k", &[1])]);
     assert_eq!(level(&table, "k"), Level::Suspected(1));
     assert_eq!(level(&table, "other"), Level::Clear);
-    // The same end, told again by another node, is no further one; another life is.
+    // The same crash reported by another node does not count again; one of another incarnation does.
     assert!(table.merge(&row("k", &[1]), Origin::Elsewhere, NOW).is_empty());
     let again = Row { crashes: [crash(1, 2)].into(), ..row("k", &[]) };
     let changes = table.merge(&again, Origin::Elsewhere, NOW);
@@ -70,22 +70,22 @@
 }
 
 #[test]
-fn an_end_in_a_life_that_has_ended_before_is_another_end() {
+fn a_second_crash_of_the_same_incarnation_is_another_crash() {
     let table = table(&[row("k", &[1])]);
     let runner = "r-1".parse().unwrap();
     let name = |sent| table.identify_crash(&runner, Some(Incarnation(1)), None, sent);
-    assert_eq!(name(NOW), crash(1, 1), "it was under way when that was heard of");
+    assert_eq!(name(NOW), crash(1, 1), "it was in flight when the crash became known");
     assert_eq!(name(NOW + Millis(1)), Crash { nth: 1, ..crash(1, 1) });
     assert_eq!(table.identify_crash(&runner, Some(Incarnation(2)), None, NOW + Millis(1)), crash(1, 2));
 }
 
 #[test]
-fn a_request_is_held_back_for_good_once_others_could_tell_what_they_know() {
+fn a_request_is_rejected_only_after_other_nodes_could_report() {
     let mut table = table(&[row("k", &[1, 2, 3]), row("a", &[1, 2, 5])]);
     assert_eq!(table.level(&fingerprint("k")), Level::Pending(3));
     assert!(table.settle(NOW + Millis(299)).is_empty());
-    // What others have seen meanwhile explains the ends of one of them, and ends that go on
-    // do not put the other one off.
+    // What other nodes saw meanwhile explains the crashes of one request. Further crashes do not delay the
+    // rejection of the other one.
     table.merge(&row("k", &[4, 5]), Origin::Elsewhere, NOW + Millis(200));
     assert_eq!(table.level(&fingerprint("a")), Level::Suspected(0));
     let changes = table.settle(NOW + Millis(300));
@@ -95,54 +95,58 @@
 }
 
 #[test]
-fn ends_that_a_deadly_request_explains_count_for_no_other() {
+fn crashes_explained_by_a_deadly_request_count_for_no_other() {
     let mut table = table(&[row("k", &[1, 2]), row("a", &[1, 2]), row("b", &[2]), row("c", &[9])]);
     assert_eq!(level(&table, "a"), Level::Suspected(2));
-    assert_eq!(level(&table, "b"), Level::Suspected(0), "two others were there, and at one end more");
+    assert_eq!(
+        level(&table, "b"),
+        Level::Suspected(0),
+        "two other requests were in flight at one more crash"
+    );
     let changes = table.merge(&row("k", &[3]), Origin::Hall, NOW);
     assert_eq!(level(&table, "k"), Level::Deadly(3));
     assert_eq!((level(&table, "a"), level(&table, "b")), (Level::Suspected(0), Level::Suspected(0)));
-    assert_eq!(level(&table, "c"), Level::Suspected(1), "another end is not explained by it");
-    assert_eq!(changes.len(), 2, "all whose level changes are told of");
+    assert_eq!(level(&table, "c"), Level::Suspected(1), "another crash is not explained by it");
+    assert_eq!(changes.len(), 2, "each changed level is returned");
 }
 
 #[test]
-fn a_request_that_was_at_all_ends_by_chance_is_told_apart_before_it_is_held_back() {
+fn an_indistinguishable_request_is_told_apart_before_it_is_rejected() {
     let mut table = table(&[row("k", &[1, 2, 3]), row("a", &[1, 2, 3])]);
     assert_eq!((level(&table, "k"), level(&table, "a")), (Level::Suspected(3), Level::Suspected(3)));
     table.merge(&row("k", &[4]), Origin::Hall, NOW);
     assert_eq!((level(&table, "k"), level(&table, "a")), (Level::Deadly(4), Level::Suspected(0)));
-    // And the same when the other one runs to its end instead.
+    // The same if the other request completes instead.
     let mut table = self::table(&[row("k", &[1, 2, 3]), row("a", &[1, 2, 3])]);
     table.record_completed(&fingerprint("a"), NOW);
     assert_eq!((level(&table, "k"), level(&table, "a")), (Level::Deadly(3), Level::Clear));
-    // One that ended more runners elsewhere explains only where it was: five ends are enough
-    // also for one that was always beside it.
+    // A request explains only the crashes at which it was in flight. Five crashes make another one deadly
+    // even if a request with more crashes was in flight at nearly all of them.
     let table = self::table(&[row("k", &[1, 2, 3, 4, 5, 6]), row("l", &[1, 2, 3, 4])]);
     assert_eq!(level(&table, "l"), Level::Suspected(0));
     let table = self::table(&[row("k", &[1, 2, 3, 4, 5, 6]), row("l", &[1, 2, 3, 4, 7])]);
     assert_eq!(level(&table, "l"), Level::Deadly(5));
-    // Two that cannot be told apart are both held back in the end.
+    // Two indistinguishable requests are both rejected in the end.
     let table = self::table(&[row("k", &[1, 2, 3, 4, 5]), row("a", &[1, 2, 3, 4, 5])]);
     assert_eq!((level(&table, "k"), level(&table, "a")), (Level::Deadly(5), Level::Deadly(5)));
 }
 
 #[test]
-fn what_has_run_to_its_end_anywhere_is_cleared_whenever_that_is_heard_of() {
+fn a_request_that_completed_anywhere_is_cleared_at_any_time() {
     let mut table = table(&[row("a", &[1, 2])]);
     let cleared = Row { cleared: true, ..row("a", &[1]) };
     let changes = table.merge(&cleared, Origin::Elsewhere, NOW);
     assert_eq!((changes[0].before, changes[0].after), (Level::Suspected(2), Level::Clear));
     table.merge(&row("a", &[3, 4]), Origin::Hall, NOW);
-    assert_eq!(level(&table, "a"), Level::Clear, "what ends each runner cannot have run to its end");
+    assert_eq!(level(&table, "a"), Level::Clear, "a deadly request cannot have completed");
 }
 
 #[test]
-fn an_entry_that_was_lifted_needs_three_new_ends() {
+fn a_voided_entry_needs_three_new_crashes() {
     let mut table = table(&[row("k", &[1, 2, 3])]);
     table.void_crashes(&fingerprint("k"), NOW);
     assert_eq!(level(&table, "k"), Level::Clear);
-    // A node that has not heard of it tells the old ends again.
+    // A node that does not know of it reports the old crashes again.
     table.merge(&row("k", &[1, 2, 3]), Origin::Elsewhere, NOW);
     assert_eq!(level(&table, "k"), Level::Clear);
     table.merge(&row("k", &[4, 5]), Origin::Hall, NOW);
@@ -152,7 +156,7 @@
 }
 
 #[test]
-fn tables_that_hear_the_same_in_any_order_and_number_come_to_the_same_levels() {
+fn tables_reach_the_same_levels_in_any_order_and_with_repetition() {
     let names = ["k", "a", "b", "c", "d"];
     for seed in 0..40 {
         let rng = &mut SmallRng::seed_from_u64(seed);
@@ -177,7 +181,7 @@
 }
 
 #[test]
-fn single_nodes_are_told_of_what_ended_two_runners_and_collectors_of_all_that_is_new_here() {
+fn nodes_receive_rows_with_two_crashes_and_collectors_all_changes_of_the_hall() {
     let mut table = table(&[row("a", &[1]), row("k", &[1, 2])]);
     let list = |audience, after| {
         let (rows, version) = table.list_updates(after, audience, 10);
@@ -187,11 +191,11 @@
     assert_eq!(updates, [fingerprint("a"), fingerprint("k")]);
     assert_eq!(list(Audience::Collector, version).0, []);
     assert_eq!(list(Audience::Node, 0).0, [fingerprint("k")]);
-    // What came from another hall is passed on to nodes, not back to collectors.
+    // Rows from another hall are passed on to nodes, not back to collectors.
     table.merge(&row("far", &[3, 4, 5]), Origin::Elsewhere, NOW);
     assert!(table.list_updates(version, Audience::Collector, 10).0.is_empty());
     assert_eq!(table.list_updates(version, Audience::Node, 10).0.len(), 1);
-    // More than fits is told in parts, and nothing is left out.
+    // Rows that exceed a message are sent in several, and none is left out.
     for number in 0..20 {
         table.merge(&row(&format!("m{number}"), &[10 + number]), Origin::Hall, NOW);
     }
@@ -205,7 +209,7 @@
 }
 
 #[test]
-fn an_account_with_a_million_deadly_requests_pushes_out_nobody_elses() {
+fn a_million_deadly_requests_of_an_account_evict_none_of_others() {
     let mut table = Table::default();
     let other: id::Account = "globex".parse().unwrap();
     let theirs = Row { account: Some(other), ..row("theirs", &[1, 2, 3]) };
@@ -216,9 +220,9 @@
         table.merge(&row(&number.to_string(), &runners), Origin::Hall, NOW);
     }
     assert_eq!(level(&table, "theirs"), Level::Deadly(3));
-    assert_eq!(level(&table, &(count - 1).to_string()), Level::Deadly(3), "the latest ones are held back");
+    assert_eq!(level(&table, &(count - 1).to_string()), Level::Deadly(3), "the latest ones are rejected");
     assert!(table.iter().count() <= 1025);
-    // With as many accounts the whole stays bounded as well, and each keeps some.
+    // With many accounts the whole table stays bounded too, and each account keeps some rows.
     for account_number in 0..100 {
         for number in 0..100 {
             let name = format!("{account_number}-{number}");
@@ -232,14 +236,14 @@
 }
 
 #[test]
-fn what_is_old_is_forgotten_and_the_store_told_to() {
+fn old_rows_expire_here_and_in_the_store() {
     let mut table = table(&[row("k", &[1, 2, 3]), row("a", &[8])]);
     let unstored: Vec<Fingerprint> = table.list_unstored().iter().map(|(row, _)| row.fingerprint).collect();
-    assert_eq!(unstored, [fingerprint("k")], "a single end is exchanged and not stored");
+    assert_eq!(unstored, [fingerprint("k")], "a single crash is exchanged but not stored");
     table.record_stored(&row("k", &[1, 2, 3]));
     assert!(table.list_unstored().is_empty());
     table.merge(&row("k", &[4]), Origin::Hall, NOW);
-    assert_eq!(table.list_unstored().len(), 1, "it has one end more than the store holds");
+    assert_eq!(table.list_unstored().len(), 1, "it has one crash more than the store holds");
     assert!(table.list_obsolete().is_empty());
     table.expire(NOW + SUSPECT_TTL - Millis(1));
     assert_eq!(level(&table, "k"), Level::Deadly(4));
