--- a/crates/fleet/tests/backoff.rs
+++ b/crates/fleet/tests/backoff.rs
@@ -1,4 +1,4 @@
-//! For how long runners want no requests, on a set clock.
+//! The runners that asked a node to send no requests for a while.
 
 use cottoncrank::{Millis, id};
 use cottoncrank_fleet::backoff::Table;
@@ -13,42 +13,42 @@
 }
 
 #[test]
-fn a_backoff_lasts_as_long_as_it_says() {
+fn a_backoff_lasts_for_the_requested_time() {
     let (mut table, id) = (Table::default(), runner("a"));
     assert!(table.insert(&id, Some(Incarnation(1)), SPAN, NOW));
     assert_eq!(table.find_end(&id, Some(Incarnation(1)), NOW), Some(NOW + SPAN));
     assert_eq!(table.find_end(&id, Some(Incarnation(1)), NOW + Millis(2999)), Some(NOW + SPAN));
     assert_eq!(table.find_end(&id, Some(Incarnation(1)), NOW + SPAN), None);
     assert!(!table.is_empty(NOW) && table.is_empty(NOW + SPAN));
-    assert_eq!(table.find_end(&runner("b"), None, NOW), None, "another runner wants requests");
+    assert_eq!(table.find_end(&runner("b"), None, NOW), None, "another runner is not backing off");
 }
 
 #[test]
-fn the_latest_end_holds() {
+fn the_latest_end_applies() {
     let (mut table, id) = (Table::default(), runner("a"));
     table.insert(&id, None, SPAN, NOW);
-    // An answer that was overtaken by the one before, or a runner that names less.
-    assert!(!table.insert(&id, None, Millis(500), NOW + Millis(100)), "it is known already");
+    // An answer that was overtaken, or a runner that asks for less time.
+    assert!(!table.insert(&id, None, Millis(500), NOW + Millis(100)), "a later end is known");
     assert_eq!(table.find_end(&id, None, NOW + Millis(700)), Some(NOW + SPAN));
     table.insert(&id, None, SPAN, NOW + Millis(1000));
     assert_eq!(table.find_end(&id, None, NOW + Millis(3500)), Some(NOW + Millis(4000)));
 }
 
 #[test]
-fn a_life_owes_nothing_to_a_former_one() {
+fn an_incarnation_is_not_bound_by_the_former_one() {
     let (mut table, id) = (Table::default(), runner("a"));
     table.insert(&id, Some(Incarnation(5)), SPAN, NOW);
-    assert_eq!(table.find_end(&id, Some(Incarnation(6)), NOW), None, "it has started again");
+    assert_eq!(table.find_end(&id, Some(Incarnation(6)), NOW), None, "it has restarted");
     assert!(table.find_end(&id, Some(Incarnation(5)), NOW).is_some());
-    assert!(table.find_end(&id, None, NOW).is_some(), "nobody says that it has");
-    // The later life asks for less, and an answer of the former one comes late.
+    assert!(table.find_end(&id, None, NOW).is_some(), "no restart is known");
+    // The later incarnation asks for less time, and an answer of the former one arrives late.
     assert!(table.insert(&id, Some(Incarnation(6)), Millis(1000), NOW));
     assert!(!table.insert(&id, Some(Incarnation(5)), SPAN, NOW));
     assert_eq!(table.find_end(&id, Some(Incarnation(6)), NOW), Some(NOW + Millis(1000)));
 }
 
 #[test]
-fn what_is_over_takes_no_memory() {
+fn expired_backoffs_take_no_memory() {
     let mut table = Table::default();
     for number in 0..1000 {
         table.insert(&runner(&format!("r{number}")), None, SPAN, NOW + Millis(number));
--- a/crates/fleet/tests/compaction.rs
+++ b/crates/fleet/tests/compaction.rs
@@ -1,10 +1,10 @@
-//! When the store forgot its history, each of nearly a thousand nodes read all that it holds: two
-//! megabytes each, for longer than a configuration may take to be in force everywhere.
+//! Guards against every node reading the whole store after the store dropped its history.
 //!
-//! The cause: a node whose changes the store no longer knew forgot its own position, and asked
-//! nobody but the store from then on. Now it goes on asking other nodes for what changed after that
-//! position. All is read by the deciding node and the first reader of each hall, and by others only
-//! where those tell nothing.
+//! Each of nearly a thousand nodes read two megabytes, for longer than the time within which a
+//! configuration must be in force. A node whose changes the store no longer had discarded its own position,
+//! and from then on queried only the store. Now it keeps polling other nodes for changes after that
+//! position. Only the decider and the first reader of each hall read everything, and others only if those
+//! do not answer.
 
 use cottoncrank::{Millis, id};
 use cottoncrank_fleet::directory::{Directory, Millicores, Peer};
@@ -12,21 +12,21 @@
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
-/// Within how long a configuration must be in force.
+/// The time within which a configuration must be in force.
 const BOUND: Millis = Millis(5000);
 
-/// How long a call to the store takes, a question to a node, and a question without news.
+/// The duration of a call to the store, of a query to a node, and of a poll without changes.
 const CALL_TIME: Millis = Millis(4);
 const QUERY_TIME: Millis = Millis(2);
 const LONG_POLL: Millis = Millis(700);
 
-/// How long it takes to read all that the store holds, on a box of a whole core and on a small one.
+/// How long reading the whole store takes on a box with a whole core, and on a small one.
 const FULL_READ_TIME: Millis = Millis(250);
 const FULL_READ_TIME_SMALL: Millis = Millis(1500);
 
 const HALLS: usize = 5;
 
-/// The processor time of the first boxes of a hall, and of all others.
+/// The processor time of the first boxes of each hall, and of all others.
 const LARGE: Millicores = Millicores(1000);
 const SMALL: Millicores = Millicores(120);
 
@@ -34,15 +34,15 @@
     peer: Peer,
     sources: Sources,
     next_call: Millis,
-    /// Whether the store has told this node that it forgot the history.
+    /// Whether the store has answered this node that it dropped the history.
     compacted: bool,
-    /// Whether it answers those that ask.
+    /// Whether it answers queries.
     serving: bool,
-    /// Whether it knows the change that was made meanwhile, and from when on.
+    /// From when on it knows the change that was made meanwhile.
     informed_at: Option<Millis>,
 }
 
-/// The nodes of a fleet, the first boxes of each hall of a whole core if there are such.
+/// Builds a fleet in which the first `large` boxes of each hall have a whole core.
 fn build(nodes: usize, large: usize) -> (Directory, Vec<Follower>) {
     let mut directory = Directory::default();
     let mut followers = Vec::new();
@@ -70,14 +70,14 @@
     (directory, followers)
 }
 
-/// The store has forgotten its history, and has cut all watches, when a change was made. Returns
-/// how many nodes read all that it holds, and when the last one knew of the change.
+/// Simulates a change of the store right after it dropped its history and ended all watches. Returns how
+/// many nodes read the whole store, and when the last one knew of the change.
 fn simulate(nodes: usize, large: usize, seed: u64) -> (usize, Millis) {
     let (directory, mut followers) = build(nodes, large);
     let mut rng = SmallRng::seed_from_u64(seed);
     let decider = followers[0].peer.node.clone();
     let (mut full_reads, mut now) = (0, Millis(1));
-    // The watch of the deciding node was cut.
+    // The watch of the decider was ended.
     followers[0].serving = false;
     while now < Millis(BOUND.0 + 100)
         && followers.iter().any(|follower| follower.informed_at.is_none_or(|at| at > now))
@@ -94,7 +94,7 @@
     (full_reads, now)
 }
 
-/// One call of a node. Returns how long it takes.
+/// Makes one call of a node and returns its duration.
 fn step(
     directory: &Directory,
     followers: &mut [Follower],
@@ -154,23 +154,23 @@
 }
 
 #[test]
-fn all_that_the_store_holds_is_read_by_few_nodes_of_each_hall_whatever_the_fleet() {
+fn few_nodes_of_each_hall_read_the_whole_store_at_any_fleet_size() {
     for (nodes, large) in [(90, 0), (300, 0), (985, 10), (1970, 10)] {
         let (full_reads, last_informed) = simulate(nodes, large, 1);
-        assert!(full_reads <= 3 * HALLS, "{nodes} nodes: {full_reads} read all that the store holds");
+        assert!(full_reads <= 3 * HALLS, "{nodes} nodes: {full_reads} read the whole store");
         assert!(last_informed < BOUND, "{nodes} nodes: a change was known everywhere after {last_informed}");
     }
 }
 
 #[test]
-fn readers_are_the_boxes_with_the_most_time() {
+fn readers_are_the_boxes_with_the_most_processor_time() {
     let (directory, _) = build(985, 10);
     let readers = directory.list_readers(&"hall-1".parse().unwrap());
-    assert!(readers.iter().all(|peer| peer.processor == LARGE), "a small box reads for a hall");
-    // Each has the time of eight small ones, which serve twelve nodes each.
+    assert!(readers.iter().all(|peer| peer.processor == LARGE), "a small box is a reader");
+    // Each has the processor time of eight small boxes, which serve twelve nodes each.
     assert_eq!(readers.len(), 2, "of a hall of 197 nodes");
     let (directory, _) = build(985, 0);
     assert_eq!(directory.list_readers(&"hall-1".parse().unwrap()).len(), 17, "of small boxes alone");
     let (directory, _) = build(100, 10);
-    assert_eq!(directory.list_readers(&"hall-1".parse().unwrap()).len(), 2, "one alone may be lost");
+    assert_eq!(directory.list_readers(&"hall-1".parse().unwrap()).len(), 2, "a single reader may be lost");
 }
--- a/crates/fleet/tests/fingerprint.rs
+++ b/crates/fleet/tests/fingerprint.rs
@@ -1,4 +1,4 @@
-//! What makes two requests the same.
+//! Which requests have equal fingerprints.
 
 use std::collections::HashSet;
 
@@ -8,14 +8,14 @@
 const BASE: Request = Request { account: None, method: "POST", path: "/a/b", body: b"body" };
 
 #[test]
-fn requests_that_differ_in_any_part_have_other_fingerprints() {
+fn requests_that_differ_in_any_part_have_different_fingerprints() {
     let account: id::Account = "acme".parse().unwrap();
     let other: id::Account = "acm".parse().unwrap();
     let requests = [
         BASE,
         Request { account: Some(&account), ..BASE },
         Request { account: Some(&other), ..BASE },
-        // The end of one part and the start of the next do not pass for each other.
+        // Bytes moved from the end of one part to the start of the next make a difference.
         Request { account: Some(&other), method: "ePOST", ..BASE },
         Request { method: "POST/a", path: "/b", ..BASE },
         Request { path: "/a/bbody", body: b"", ..BASE },
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_fingerprint_is_read_as_it_is_written() {
+fn a_fingerprint_parses_from_its_text() {
     let fingerprint = Fingerprint::of(&BASE);
     let text = fingerprint.to_string();
     assert_eq!(text.len(), 32);
--- a/crates/fleet/tests/gossip.rs
+++ b/crates/fleet/tests/gossip.rs
@@ -1,4 +1,5 @@
-//! How what nodes have seen of suspected requests reaches all nodes, on what they exchange anyway.
+//! Exchange of suspected requests between nodes and collectors, and interruptions whose crash becomes known
+//! later.
 
 use std::collections::BTreeSet;
 
@@ -30,7 +31,7 @@
     }
 }
 
-/// A node: its table, and what it keeps in mind of others.
+/// A node with its table and the state of its exchanges.
 struct Node {
     name: id::Node,
     instance: u64,
@@ -47,7 +48,7 @@
         self.table.merge(&row(name, runners), Origin::Hall, NOW);
     }
 
-    /// Tells `other` and hears from it. Returns how many rows went there and back.
+    /// Exchanges rows with `other`. Returns the numbers of rows sent and received.
     fn exchange(&mut self, other: &mut Node, scope: Scope) -> (usize, usize) {
         let (push, version) = self.peers.build_push(&self.table, &other.name);
         let origin = if scope == Scope::Node { Origin::Hall } else { Origin::Elsewhere };
@@ -68,7 +69,7 @@
 }
 
 #[test]
-fn three_ends_that_three_nodes_saw_are_known_to_a_fourth_after_one_exchange_each() {
+fn crashes_seen_by_three_nodes_reach_a_fourth_after_one_exchange_each() {
     let mut collector = Node::new("c", 1);
     let mut nodes: Vec<Node> = (0..4).map(|number| Node::new(&format!("n{number}"), 10 + number)).collect();
     for number in 0..3 {
@@ -77,15 +78,19 @@
         nodes[number as usize].exchange(&mut collector, Scope::Node);
     }
     assert_eq!(collector.level("k"), Level::Pending(3));
-    assert_eq!(nodes[3].exchange(&mut collector, Scope::Node), (0, 1), "nodes need no single ends");
+    assert_eq!(
+        nodes[3].exchange(&mut collector, Scope::Node),
+        (0, 1),
+        "nodes need no rows with a single crash"
+    );
     assert_eq!(nodes[3].level("k"), Level::Pending(3));
-    assert_eq!(nodes[3].exchange(&mut collector, Scope::Node), (0, 0), "nothing is told twice");
+    assert_eq!(nodes[3].exchange(&mut collector, Scope::Node), (0, 0), "no row is sent twice");
     assert_eq!(nodes[0].exchange(&mut collector, Scope::Node), (0, 1));
     assert_eq!(nodes[0].exchange(&mut collector, Scope::Node), (0, 0));
 }
 
 #[test]
-fn collectors_tell_each_other_what_their_halls_have_seen_and_not_what_they_were_told() {
+fn collectors_send_each_other_only_what_their_own_halls_saw() {
     let (mut a, mut b, mut c) = (Node::new("a", 1), Node::new("b", 2), Node::new("c", 3));
     a.record_crashes("k", &[1]);
     b.record_crashes("k", &[2, 3]);
@@ -93,7 +98,7 @@
     assert_eq!(b.level("k"), Level::Pending(3));
     assert_eq!(b.exchange(&mut a, Scope::Hall), (1, 0));
     assert_eq!(a.level("k"), Level::Pending(3));
-    // What a knows of b's hall is b's to tell: it passes its own row on, and no others.
+    // Only b sends what its hall saw. So a sends c the row of its own hall and no others.
     b.record_crashes("other", &[9]);
     b.exchange(&mut a, Scope::Hall);
     assert_eq!(a.exchange(&mut c, Scope::Hall), (1, 0));
@@ -102,7 +107,7 @@
 }
 
 #[test]
-fn a_node_that_started_again_is_told_all_anew_and_tells_what_it_knows() {
+fn after_a_restart_of_either_side_all_rows_are_sent_again() {
     let mut collector = Node::new("c", 1);
     let mut node = Node::new("n", 2);
     node.record_crashes("k", &[1, 2, 3]);
@@ -128,23 +133,26 @@
 }
 
 #[test]
-fn a_later_life_or_another_runner_at_the_address_tells_that_a_runner_has_ended() {
+fn a_later_incarnation_or_another_runner_at_the_address_proves_a_crash() {
     let (runner, other): (id::Runner, id::Runner) = ("r-1".parse().unwrap(), "r-2".parse().unwrap());
     let address = "10.0.0.1:80".parse().unwrap();
     let mut interruptions = Interruptions::default();
     interruptions.record(interruption("a", 5, NOW));
-    assert!(interruptions.take_earlier(&runner, Incarnation(5), NOW).is_empty(), "it lives on");
+    assert!(
+        interruptions.take_earlier(&runner, Incarnation(5), NOW).is_empty(),
+        "it is the same incarnation"
+    );
     assert!(interruptions.take_earlier(&other, Incarnation(9), NOW).is_empty());
-    assert!(interruptions.take_replaced(&runner, address, NOW).is_empty(), "it is that runner itself");
+    assert!(interruptions.take_replaced(&runner, address, NOW).is_empty(), "it is the same runner");
     assert_eq!(interruptions.take_earlier(&runner, Incarnation(6), NOW), [row("a", &[1])]);
     assert!(interruptions.take_earlier(&runner, Incarnation(7), NOW).is_empty(), "each counts once");
     interruptions.record(interruption("b", 6, NOW));
     assert_eq!(interruptions.take_replaced(&other, address, NOW), [row("b", &[1])]);
-    // One that was asked in that life and has ended since.
+    // An attempt at an incarnation that is now known to have crashed.
     interruptions.record(interruption("d", 6, NOW));
     assert!(interruptions.take_crashed(&runner, Some(Incarnation(5)), NOW).is_empty());
     assert_eq!(interruptions.take_crashed(&runner, Some(Incarnation(6)), NOW), [row("d", &[1])]);
-    // A runner that ends much later did not end under it.
+    // A crash much later is not attributed to it.
     interruptions.record(interruption("c", 6, NOW));
     assert!(interruptions.take_earlier(&runner, Incarnation(7), NOW + INTERRUPTION_TTL).is_empty());
 }
--- a/crates/fleet/tests/presence.rs
+++ b/crates/fleet/tests/presence.rs
@@ -1,9 +1,10 @@
-//! With nearly a thousand nodes, 6,389 calls to the store in a calm day cost callers a tenth of the
-//! worth of all their requests: nearly all of them renewed a lease for the entry of a node, which
-//! hardly ever changes. A longer lease would only have moved that to a larger fleet.
+//! Guards against calls to the store that grow with the number of nodes.
 //!
-//! Now entries go with no lease. The collector of a hall, which hears of its nodes anyway, removes
-//! the entries of those it hears of no more, so that calls go with the changes.
+//! With nearly a thousand nodes, 6,389 calls in a day without faults cost a tenth of the value of all
+//! requests. Nearly all of them renewed a lease for the entry of a node, which hardly ever changes. A
+//! longer lease would only have postponed that to a larger fleet. Now entries have no lease. The collector
+//! of a hall, which receives reports from its nodes anyway, removes the entries of absent ones, so that
+//! calls grow with changes only.
 
 use std::collections::BTreeSet;
 
@@ -22,16 +23,16 @@
     format!("hall-{number}").parse().unwrap()
 }
 
-/// A fleet with the collector of each hall, which is its node 0.
+/// A fleet in which node 0 of each hall is its collector.
 struct Fleet {
     directory: Directory,
     dead: BTreeSet<id::Node>,
-    /// Halls whose collectors hear of nobody, and of which nobody hears.
+    /// Halls whose collectors neither receive reports nor reach other halls.
     partitioned: BTreeSet<usize>,
     collectors: Vec<Presence>,
     per_hall: usize,
     now: Millis,
-    /// Entries removed so far.
+    /// The number of entries removed so far.
     removed: usize,
 }
 
@@ -58,7 +59,7 @@
         self.dead.extend(numbers.map(|number| name(at, number)));
     }
 
-    /// Goes on for `span`.
+    /// Advances the simulation by `span`.
     fn run(&mut self, span: Millis) {
         let end = self.now + span;
         while self.now < end {
@@ -98,7 +99,7 @@
 }
 
 #[test]
-fn a_calm_fleet_of_any_size_makes_no_call() {
+fn a_fleet_of_any_size_without_faults_makes_no_calls() {
     for nodes in [10, 300, 985, 1970] {
         let mut fleet = Fleet::new(nodes);
         fleet.run(Millis(180_000));
@@ -107,12 +108,12 @@
 }
 
 #[test]
-fn nodes_that_are_gone_are_removed_once_and_no_others() {
+fn gone_nodes_are_removed_once_and_no_others() {
     let mut fleet = Fleet::new(985);
     fleet.run(Millis(60_000));
     fleet.kill(1, 3..17);
     fleet.run(ABSENCE_TIMEOUT - CHECK_INTERVAL);
-    assert_eq!(fleet.removed, 0, "a box that starts again is away for seconds");
+    assert_eq!(fleet.removed, 0, "a restarting box is absent for seconds");
     fleet.run(CHECK_INTERVAL + CHECK_INTERVAL);
     assert_eq!(fleet.removed, 14);
     assert!(!fleet.knows(1, 3) && !fleet.knows(1, 16) && fleet.knows(1, 17));
@@ -121,37 +122,37 @@
 }
 
 #[test]
-fn a_collector_that_is_cut_off_removes_nobody_soon() {
+fn a_partitioned_collector_removes_no_nodes_soon() {
     let mut fleet = Fleet::new(985);
     fleet.run(Millis(60_000));
     fleet.partitioned.insert(2);
     fleet.run(MASS_ABSENCE_TIMEOUT - CHECK_INTERVAL);
-    assert_eq!(fleet.removed, 0, "it hears of none of the others, and they of none of its hall");
+    assert_eq!(fleet.removed, 0, "no reports pass between its hall and the others");
     fleet.partitioned.clear();
     fleet.run(Millis(300_000));
     assert_eq!(fleet.removed, 0);
 }
 
 #[test]
-fn a_hall_that_is_lost_for_good_is_removed_by_one_other() {
+fn a_hall_that_is_gone_is_removed_by_one_other_hall() {
     let mut fleet = Fleet::new(985);
     fleet.run(Millis(60_000));
     fleet.kill(0, 0..197);
     fleet.kill(3, 1..150);
     fleet.run(MASS_ABSENCE_TIMEOUT - CHECK_INTERVAL);
-    assert_eq!(fleet.removed, 0, "most of two halls are not heard of");
+    assert_eq!(fleet.removed, 0, "most nodes of two halls are absent");
     fleet.run(CHECK_INTERVAL + CHECK_INTERVAL);
     assert_eq!(fleet.removed, 197 + 149);
     assert!(fleet.knows(3, 0) && fleet.knows(3, 150) && !fleet.knows(0, 0));
 }
 
 #[test]
-fn a_node_that_collects_no_more_removes_nobody() {
+fn a_node_that_is_no_longer_collector_removes_no_nodes() {
     let mut fleet = Fleet::new(90);
     fleet.run(Millis(60_000));
     fleet.kill(1, 3..5);
     fleet.run(ABSENCE_TIMEOUT - CHECK_INTERVAL);
-    // Another node of the hall answers it, and was heard by the others meanwhile.
+    // Another node of the hall has become the collector and received the reports meanwhile.
     fleet.collectors[1].stop_collecting();
     let gone =
         fleet.collectors[1].list_gone(&name(1, 0), &hall(1), &fleet.directory, fleet.now + ABSENCE_TIMEOUT);
--- a/crates/fleet/tests/rejections.rs
+++ b/crates/fleet/tests/rejections.rs
@@ -1,11 +1,10 @@
-//! Heads in good health turned all requests away, without a word on for how long. Nodes passed them
-//! over, and their groups stood idle for as long as that lasted: with six runners in ten that did so
-//! for 20 s, a tenth of all requests was refused, while the other members of these groups could have
-//! been heads.
+//! Guards against groups that serve nothing because their head rejects all requests.
 //!
-//! What showed it were the counts of a played day, 821 of 5,703 tries turned away, and the rule by
-//! which groups are given up: one counted as whole as long as its members were in health. Now the deciding node hears from all nodes who is turned away, and puts another
-//! member at the head of a group that serves nobody.
+//! Healthy heads rejected all requests without a retry time. Nodes avoided them, and their groups were idle
+//! for as long as that lasted. When six runners in ten did so for 20 s, a tenth of all requests was
+//! rejected, although other members could have been heads. In one simulated day, 821 of 5,703 attempts were
+//! rejected. Groups were retired only if a member was unhealthy. Now nodes report rejections to the decider,
+//! which makes another member the head of a group that serves nothing.
 
 mod instant;
 
@@ -18,8 +17,8 @@
 use cottoncrank_fleet::runner::Phase;
 use instant::{World, at_rest};
 
-/// A fleet in which the head of a group turns requests away, with so many in flight there. All
-/// others are half full.
+/// Returns a fleet in which the head of a group rejects requests while `running` are in flight there. All
+/// other groups are half full.
 fn rejecting(group: &Group, running: u32) -> World {
     let mut world = at_rest(6);
     world.refusing = [group.members[0].clone()].into();
@@ -29,20 +28,20 @@
     world
 }
 
-/// The group that a runner is in.
+/// Returns the group of a runner.
 fn find_group_of(world: &World, runner: &id::Runner) -> Option<Group> {
     world.groups().find(|group| group.members.contains(runner) && !group.is_retired()).cloned()
 }
 
 #[test]
-fn another_runner_becomes_the_head_of_a_group_that_is_turned_away() {
+fn another_runner_becomes_the_head_of_a_group_whose_head_rejects_requests() {
     for model in ["large", "small"] {
         let group = at_rest(6).find(model);
         let mut world = rejecting(&group, 1);
         let before: Vec<Group> = world.groups().cloned().collect();
         world.run(10);
         let is_new = |known: &&Group| known.model == group.model && !before.contains(known);
-        let formed = world.groups().find(is_new).unwrap_or_else(|| panic!("{model}: none is formed anew"));
+        let formed = world.groups().find(is_new).unwrap_or_else(|| panic!("{model}: no new group is formed"));
         assert!(!world.refusing.contains(&formed.members[0]), "{model}: {formed:?}");
         assert_eq!(world.phase(&formed.members[0]), Some(Phase::Open), "{model}");
     }
@@ -54,14 +53,14 @@
     let mut world = rejecting(&group, 10);
     world.run(10);
     assert_eq!(find_group_of(&world, &group.members[0]).map(|known| known.epoch), Some(group.epoch));
-    // Neither is it closed where nobody knows what is in flight.
+    // It is not closed either if the in-flight requests are unknown.
     world.in_flight = None;
     world.run(10);
     assert_eq!(find_group_of(&world, &group.members[0]).map(|known| known.epoch), Some(group.epoch));
 }
 
 #[test]
-fn a_group_whose_members_all_turn_requests_away_is_left_alone() {
+fn a_group_whose_members_all_reject_requests_is_kept() {
     let group = at_rest(6).find("small");
     let mut world = rejecting(&group, 0);
     world.refusing = world.roster.iter().map(|runner| runner.id.clone()).collect::<BTreeSet<_>>();
@@ -70,7 +69,7 @@
 }
 
 #[test]
-fn who_is_turned_away_is_told_on_once_and_forgotten_when_nobody_says_so_any_more() {
+fn rejections_are_passed_on_once_and_expire_without_further_reports() {
     let (one, two): (id::Runner, id::Runner) = ("r1".parse().unwrap(), "r2".parse().unwrap());
     let mut table = Table::default();
     for now in (0..2000).step_by(500) {
@@ -79,9 +78,13 @@
     }
     let now = Millis(1500);
     assert_eq!(table.list(now).count(), 2);
-    assert_eq!(table.list_local(now).collect::<Vec<_>>(), [&one], "others have told of the other one");
+    assert_eq!(
+        table.list_local(now).collect::<Vec<_>>(),
+        [&one],
+        "the other one was reported by another hall"
+    );
     assert_eq!(table.list_persistent(now).count(), 2);
     assert_eq!(table.list(Millis(3000)).count(), 0);
     table.record(&one, true, Millis(4000));
-    assert_eq!(table.list_persistent(Millis(4000)).count(), 0, "it has begun anew");
+    assert_eq!(table.list_persistent(Millis(4000)).count(), 0, "its reports were interrupted");
 }
--- a/crates/fleet/tests/restarts.rs
+++ b/crates/fleet/tests/restarts.rs
@@ -1,5 +1,5 @@
-//! Runners that start again under their id, over and over, on runners that take as long as
-//! real ones: the world checks each join and each opening.
+//! Runners that restart under their id again and again. Joins and openings take as long as on real runners,
+//! and the simulated world checks each of them.
 
 mod world;
 
@@ -9,7 +9,7 @@
 use rand::{Rng, SeedableRng};
 use world::{World, engine, model};
 
-/// How long processes are down: at once, within two questions, until their group is given up.
+/// How long processes are down: back at once, within two probes, or after their group is retired.
 const DOWNTIMES: [Millis; 3] = [Millis(0), Millis(300), Millis(3000)];
 
 fn fleet(seed: u64) -> World {
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn no_join_and_no_opening_goes_wrong_however_often_runners_start_again() {
+fn joins_and_openings_stay_correct_while_runners_restart() {
     for seed in 0..8 {
         let mut rng = SmallRng::seed_from_u64(seed);
         let mut world = fleet(seed);
@@ -36,7 +36,7 @@
             }
             world.run(Millis(rng.random_range(100..1500)));
         }
-        // All is formed again once it is calm.
+        // All groups are formed again once there are no more restarts.
         world.late = 0.0;
         world.run(Millis(60_000));
         let open = (world.count_open("large"), world.count_open("small"));
@@ -45,9 +45,9 @@
 }
 
 #[test]
-fn a_member_back_at_once_costs_its_group_no_more_than_it_takes_to_join_anew() {
-    // A member starts again every 2.5 s. Where lives are not told apart, its group is taken
-    // for whole, stands still until it breaks, after six seconds, and 0.649 are served.
+fn a_member_that_restarts_at_once_costs_only_the_time_to_join_again() {
+    // A member restarts every 2.5 s. If incarnations were not told apart, its group would count as complete
+    // and be stalled until it breaks after six seconds, and the fraction served would be 0.649.
     let mut served = 0.0;
     for seed in 0..6 {
         let mut world = fleet(seed);
--- a/crates/fleet/tests/retries.rs
+++ b/crates/fleet/tests/retries.rs
@@ -1,10 +1,10 @@
-//! From 833 nodes on no node sent a request again that had arrived at a runner, although the fleet
-//! may make a thousand retries in ten seconds: callers got the failures of runners as they came.
+//! Guards against a retry budget that a large fleet cannot spend.
 //!
-//! The cause: the retries that the fleet may save up were divided evenly, and a part of less than
-//! one pays for none. Now what is left over of the parts is lent by the collectors of the halls.
-//! Both together never exceed what the fleet may send again, for a collector lends for those nodes
-//! alone that report to it.
+//! From 833 nodes on, no node retried a request that had arrived at a runner, although the fleet may make
+//! a thousand retries in ten seconds. The budget was divided evenly, and a share of less than one pays for
+//! no retry. Now the fractions left over form shared retry pools at the collectors of the halls. Budgets and
+//! pools together never exceed the budget of the fleet, because a collector counts only the nodes that
+//! report to it.
 
 use std::collections::VecDeque;
 
@@ -12,37 +12,37 @@
 use cottoncrank::retry::Budget;
 use cottoncrank_fleet::retries::{Pool, Share};
 
-/// What the fleet may send again beyond a part of all requests, in any window.
+/// The retries that the fleet may make in any window, beyond the fraction [`RATIO`] of all requests.
 const SLACK: f64 = 832.0;
 const RATIO: f64 = 0.16;
 const WINDOW: Millis = Millis(10_000);
 const HALLS: usize = 5;
 const TICK: Millis = Millis(50);
 
-/// What befalls a fleet while it wants retries.
+/// The fault injected while nodes need retries.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Fault {
     None,
-    /// The collector of hall 0 is lost, and another node collects from then on.
+    /// The collector of hall 0 is lost, and another node replaces it.
     CollectorLost,
-    /// Half of the nodes of hall 0 are cut off from its collector and report to another one.
+    /// Half of the nodes of hall 0 are partitioned from its collector and report to another one.
     Split,
 }
 
-/// Retries made, and the most in any window beyond what is allowed.
+/// The retries made and wanted, and the maximum in any window beyond what requests pay for.
 struct Outcome {
     made: usize,
     wanted: usize,
     max_excess: f64,
 }
 
-/// `nodes` that each want `per_second` retries a second for `span`, while each has one request
-/// in two seconds.
+/// Simulates nodes that each need `per_second` retries per second for `duration`, and each have one request
+/// every two seconds.
 fn simulate(nodes: usize, per_second: f64, duration: Millis, fault: Fault) -> Outcome {
     let share = Share::of(SLACK, nodes);
     let mut budgets: Vec<Budget> =
         (0..nodes).map(|_| Budget::new(RATIO * share.budget_fraction(), share.budget)).collect();
-    // Two collectors a hall: the second one collects only in trouble.
+    // The second collector of a hall is used only during a fault.
     let mut pools = vec![[Pool::default(), Pool::default()]; HALLS];
     let begin = Millis(25_000);
     let end = begin + duration;
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn a_fleet_of_any_size_uses_the_retries_that_it_may_make() {
+fn a_fleet_of_any_size_can_spend_its_retry_budget() {
     for nodes in [10, 300, 410, 830, 985, 1970] {
         let outcome = simulate(nodes, 600.0 / nodes as f64, Millis(40_000), Fault::None);
         let allowed = SLACK + RATIO * (nodes as f64 / 2.0) * 40.0;
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn it_never_makes_more_whichever_collector_lends() {
+fn a_fleet_never_exceeds_its_retry_budget_under_faults() {
     for fault in [Fault::None, Fault::CollectorLost, Fault::Split] {
         for nodes in [90, 830, 985, 1970] {
             for per_second in [600.0, 20_000.0] {
@@ -125,8 +125,8 @@
 }
 
 #[test]
-fn what_few_nodes_want_is_not_divided_evenly() {
-    // One node in fifty meets a runner that fails.
+fn few_nodes_can_use_the_shared_pool_of_their_hall() {
+    // One node in fifty meets a failing runner.
     let mut granted = 0;
     let share = Share::of(SLACK, 985);
     let mut pool = Pool::default();
@@ -135,14 +135,14 @@
     for _ in 0..4 {
         granted += (0..40).filter(|_| pool.grant()).count();
     }
-    assert_eq!(granted, 160, "a hall of 197 nodes has 166, and each of four nodes wants forty");
+    assert_eq!(granted, 160, "the pool of 197 nodes has 166, and each of four nodes needs forty");
 }
 
 #[test]
-fn a_collector_that_has_just_become_one_lends_what_is_earned_alone() {
+fn a_new_collector_grants_only_what_requests_earn() {
     let mut pool = Pool::default();
     pool.set_capacity(100.0, WINDOW, Millis(5));
-    assert!(!pool.grant(), "whoever collected before may have lent as much just now");
+    assert!(!pool.grant(), "the former collector may have granted as much until now");
     pool.deposit(1.5);
     assert!(pool.grant() && !pool.grant());
     pool.set_capacity(100.0, WINDOW, Millis(5) + WINDOW);
--- a/crates/fleet/tests/trials.rs
+++ b/crates/fleet/tests/trials.rs
@@ -1,4 +1,5 @@
-//! Runs of suspected requests: one at a time, apart from each other, and not at any price.
+//! Trial runs of suspected requests: one at a time, isolated from each other, and only while capacity
+//! suffices.
 
 use cottoncrank::Millis;
 use cottoncrank_fleet::evidence::Level;
@@ -8,7 +9,7 @@
 
 const NOW: Millis = Millis(1000);
 
-/// All groups are there.
+/// All groups are available.
 const ALL: Capacity = Capacity { available: 4, usual: 4 };
 
 fn fingerprint(name: &str) -> Fingerprint {
@@ -16,23 +17,27 @@
 }
 
 #[test]
-fn copies_of_a_suspected_request_wait_for_the_outcome_of_the_first() {
+fn copies_of_a_suspected_request_wait_for_the_first_trial_run() {
     let (a, b) = (fingerprint("a"), fingerprint("b"));
     let mut trials = Trials::default();
     assert_eq!(trials.decide(&a, Level::Suspected(1), ALL, NOW), Ruling::Trial);
     trials.start(a, Some(Epoch(7)), NOW);
     assert_eq!(trials.decide(&a, Level::Suspected(1), ALL, NOW), Ruling::Quarantine);
-    assert_eq!(trials.decide(&b, Level::Suspected(1), ALL, NOW), Ruling::Trial, "another one need not wait");
+    assert_eq!(
+        trials.decide(&b, Level::Suspected(1), ALL, NOW),
+        Ruling::Trial,
+        "another request need not wait"
+    );
     assert_eq!(trials.decide(&a, Level::Clear, ALL, NOW), Ruling::Run, "it was cleared meanwhile");
     trials.finish(&a);
     assert_eq!(trials.decide(&a, Level::Suspected(2), ALL, NOW), Ruling::Trial);
-    // Nothing is heard of a run whose caller has left.
+    // The outcome of a run is not reported if its caller has left.
     trials.start(a, Some(Epoch(7)), NOW);
     assert_eq!(trials.decide(&a, Level::Suspected(2), ALL, NOW + TRIAL_TIMEOUT), Ruling::Trial);
 }
 
 #[test]
-fn a_request_that_goes_on_elsewhere_does_not_wait_for_its_own_run() {
+fn a_retried_request_does_not_wait_for_its_own_trial_run() {
     let a = fingerprint("a");
     let mut trials = Trials::default();
     trials.start(a, Some(Epoch(7)), NOW);
@@ -40,14 +45,14 @@
     assert_eq!(
         trials.decide(&a, Level::Suspected(1), ALL, NOW),
         Ruling::Quarantine,
-        "that is another copy of it"
+        "the run is of another copy"
     );
     trials.finish_at(&a, &[Epoch(5), Epoch(7)]);
     assert_eq!(trials.decide(&a, Level::Suspected(1), ALL, NOW), Ruling::Trial);
 }
 
 #[test]
-fn runs_are_kept_apart_from_those_of_other_suspected_requests() {
+fn trial_runs_are_isolated_from_those_of_other_requests() {
     let (a, b) = (fingerprint("a"), fingerprint("b"));
     let mut trials = Trials::default();
     trials.start(a, Some(Epoch(7)), NOW);
@@ -57,14 +62,14 @@
 }
 
 #[test]
-fn suspected_requests_wait_while_runners_are_short_and_a_deadly_one_runs_nowhere() {
+fn suspected_requests_wait_for_capacity_and_deadly_ones_are_rejected() {
     let a = fingerprint("a");
     let trials = Trials::default();
     let decide =
         |available, usual| trials.decide(&a, Level::Suspected(1), Capacity { available, usual }, NOW);
-    assert_eq!(decide(1, 1), Ruling::Trial, "there never were more");
+    assert_eq!(decide(1, 1), Ruling::Trial, "there was never more than one group");
     assert_eq!(decide(2, 3), Ruling::Trial, "one hall of three is lost");
-    assert_eq!(decide(1, 2), Ruling::Trial, "what was in flight at the other goes on");
+    assert_eq!(decide(1, 2), Ruling::Trial, "requests in flight at the other group are retried");
     assert_eq!(
         (decide(0, 2), decide(1, 3), decide(0, 3)),
         (Ruling::Quarantine, Ruling::Quarantine, Ruling::Quarantine)
@@ -75,7 +80,7 @@
 }
 
 #[test]
-fn what_is_usual_is_remembered_for_some_time_and_then_forgotten() {
+fn the_usual_capacity_is_remembered_for_some_time() {
     let service = "engines".parse().unwrap();
     let (small, large) = ("small".parse().unwrap(), "large".parse().unwrap());
     let mut baseline = Baseline::default();
@@ -85,6 +90,6 @@
     assert_eq!(record(&large, 3, 0), 3);
     assert_eq!(record(&small, 4, 29_000), 9);
     assert_eq!(record(&small, 4, 59_000), 9);
-    assert_eq!(record(&small, 4, 90_000), 4, "that many are usual now");
+    assert_eq!(record(&small, 4, 90_000), 4, "four are usual now");
     assert_eq!(record(&small, 6, 91_000), 6);
 }
