--- a/crates/fleet/tests/dispatch.rs
+++ b/crates/fleet/tests/dispatch.rs
@@ -1,4 +1,4 @@
-//! The choice of groups by the collector of a hall, under the load at which other ways lose most: four
+//! The choice of groups by the collector of a hall, under the load at which most requests are lost: four
 //! fifths of all slots in use, and hundreds of nodes with a few requests each.
 
 use std::cmp::Reverse;
@@ -288,16 +288,17 @@
     let mut rng = SmallRng::seed_from_u64(11);
     let mut dispatcher = Dispatcher::default();
     let mut running_at: HashMap<Epoch, u32> = HashMap::new();
-    let mut ends: BinaryHeap<Reverse<(u64, Epoch)>> = BinaryHeap::new();
+    let mut completions: BinaryHeap<Reverse<(u64, Epoch)>> = BinaryHeap::new();
     let (mut fleet_load, mut last_report) = (FleetLoad::default(), 0);
     let per_second = load * 13.0 * f64::from(SLOTS);
     let (mut now, mut requests, mut queued) = (1000.0, 0, 0);
     while now < 61_000.0 {
         now += -rng.random::<f64>().ln() * 1000.0 / per_second;
         let at = Millis(now as u64);
-        while let Some(Reverse((end, epoch))) = ends.peek().copied().filter(|Reverse((end, _))| *end <= at.0)
+        while let Some(Reverse((end, epoch))) =
+            completions.peek().copied().filter(|Reverse((end, _))| *end <= at.0)
         {
-            ends.pop();
+            completions.pop();
             *running_at.get_mut(&epoch).unwrap() -= 1;
             let _ = end;
         }
@@ -323,7 +324,7 @@
         let in_flight = running_at.entry(epoch).or_default();
         queued += usize::from(*in_flight >= SLOTS);
         *in_flight += 1;
-        ends.push(Reverse((at.0 + rng.random_range(300..1700), epoch)));
+        completions.push(Reverse((at.0 + rng.random_range(300..1700), epoch)));
     }
     queued as f64 / f64::from(requests)
 }
@@ -356,23 +357,23 @@
     let Reply::Take(assignment) = choose_group(&mut dispatcher, 300) else {
         panic!("no group taken despite a free slot")
     };
-    let wanted = assignment.expected + 80;
-    assert!(matches!(choose_group(&mut Dispatcher::default(), wanted), Reply::Take(_)));
+    let deadline = assignment.expected + 80;
+    assert!(matches!(choose_group(&mut Dispatcher::default(), deadline), Reply::Take(_)));
     for _ in 0..40 {
         dispatcher.record_sample(&sample(120));
     }
-    assert!(matches!(choose_group(&mut dispatcher.clone(), wanted), Reply::Full(_)));
-    assert!(matches!(choose_group(&mut dispatcher.clone(), wanted + 200), Reply::Take(_)));
+    assert!(matches!(choose_group(&mut dispatcher.clone(), deadline), Reply::Full(_)));
+    assert!(matches!(choose_group(&mut dispatcher.clone(), deadline + 200), Reply::Take(_)));
     // A minority of requests that met a stalled group changes nothing.
     for number in 0..200 {
         dispatcher.record_sample(&sample(if number % 4 == 0 { 2000 } else { 120 }));
     }
-    assert!(matches!(choose_group(&mut dispatcher.clone(), wanted + 200), Reply::Take(_)));
+    assert!(matches!(choose_group(&mut dispatcher.clone(), deadline + 200), Reply::Take(_)));
     for _ in 0..80 {
         dispatcher.record_sample(&sample(0));
     }
     assert!(
-        matches!(choose_group(&mut dispatcher, wanted), Reply::Take(_)),
+        matches!(choose_group(&mut dispatcher, deadline), Reply::Take(_)),
         "first events are on time again"
     );
 }
--- a/crates/fleet/tests/limits.rs
+++ b/crates/fleet/tests/limits.rs
@@ -27,10 +27,10 @@
 
 #[test]
 fn other_policies_exceed_the_limit_under_this_load() {
-    let forgotten = simulate(Policy::Forgotten, Fault::Nothing, 90, 1.1, SEEDS);
-    assert!(find_min(&forgotten, |one| one.load_ratio) > 1.0, "{forgotten:?}");
-    let alone = simulate(Policy::Nodes, Fault::Nothing, 300, 1.1, SEEDS);
-    assert!(find_max(&alone, |one| one.load_ratio) > 1.0, "each node by itself: {alone:?}");
+    let ignored = simulate(Policy::Forgotten, Fault::Nothing, 90, 1.1, SEEDS);
+    assert!(find_min(&ignored, |one| one.load_ratio) > 1.0, "{ignored:?}");
+    let by_node = simulate(Policy::Nodes, Fault::Nothing, 300, 1.1, SEEDS);
+    assert!(find_max(&by_node, |one| one.load_ratio) > 1.0, "each node by itself: {by_node:?}");
 }
 
 #[test]
@@ -43,10 +43,10 @@
                 "{nodes} nodes, {fault:?}: {outcomes:?}"
             );
         }
-        let cut = simulate(Policy::Wanted, Fault::HallCut, nodes, 20.0, SEEDS);
+        let partitioned = simulate(Policy::Wanted, Fault::HallCut, nodes, 20.0, SEEDS);
         assert!(
-            find_min(&cut, |one| one.utilization) >= 0.6,
-            "{nodes} nodes, a hall is partitioned: {cut:?}"
+            find_min(&partitioned, |one| one.utilization) >= 0.6,
+            "{nodes} nodes, a hall is partitioned: {partitioned:?}"
         );
         // Eleven requests are allowed in ten seconds, so one of them is about a tenth.
         let few = simulate(Policy::Wanted, Fault::Nothing, nodes, 1.1, SEEDS);
@@ -56,16 +56,16 @@
 
 #[test]
 fn halls_use_the_share_that_other_halls_do_not_need() {
-    let even = simulate(Policy::Halls, Fault::OneNode, 90, 20.0, SEEDS);
-    let wanted = simulate(Policy::Wanted, Fault::OneNode, 90, 20.0, SEEDS);
-    let utilization = [&even, &wanted].map(|outcomes| find_min(outcomes, |one| one.utilization));
+    let equal = simulate(Policy::Halls, Fault::OneNode, 90, 20.0, SEEDS);
+    let by_demand = simulate(Policy::Wanted, Fault::OneNode, 90, 20.0, SEEDS);
+    let utilization = [&equal, &by_demand].map(|outcomes| find_min(outcomes, |one| one.utilization));
     assert!(
         utilization[0] < 0.4 && utilization[1] > 0.85,
         "equal shares, and shares by demand: {utilization:?}"
     );
-    let lent = simulate(Policy::Lent, Fault::HallApart, 90, 20.0, SEEDS);
-    let wanted = simulate(Policy::Wanted, Fault::HallApart, 90, 20.0, SEEDS);
-    let utilization = [&lent, &wanted].map(|outcomes| find_min(outcomes, |one| one.utilization));
+    let leased = simulate(Policy::Lent, Fault::HallApart, 90, 20.0, SEEDS);
+    let by_demand = simulate(Policy::Wanted, Fault::HallApart, 90, 20.0, SEEDS);
+    let utilization = [&leased, &by_demand].map(|outcomes| find_min(outcomes, |one| one.utilization));
     assert!(
         utilization[0] < 0.8 && utilization[1] > 0.85,
         "leased by one hall, and divided by all: {utilization:?}"
--- a/crates/fleet/tests/occupancy.rs
+++ b/crates/fleet/tests/occupancy.rs
@@ -54,9 +54,9 @@
     }
 }
 
-fn fleet_load(rows: &[(u64, u32)], asked: Millis) -> FleetLoad {
+fn fleet_load(rows: &[(u64, u32)], sent: Millis) -> FleetLoad {
     let mut fleet_load = FleetLoad::default();
-    fleet_load.update(sum(1, rows), 2, asked);
+    fleet_load.update(sum(1, rows), 2, sent);
     fleet_load
 }
 
--- a/crates/fleet/tests/outbreak/mod.rs
+++ b/crates/fleet/tests/outbreak/mod.rs
@@ -180,7 +180,7 @@
 /// The duration of a simulation.
 const END: Millis = Millis(16_000);
 
-/// The time within which every node must know what any node knows.
+/// The time within which all nodes must know that a request is deadly.
 pub const PROPAGATION_BOUND: Millis = Millis(3000);
 
 /// The intervals of reports from a node to its collector and between collectors.
--- a/crates/fleet/tests/survivors.rs
+++ b/crates/fleet/tests/survivors.rs
@@ -26,7 +26,7 @@
 /// The interval of changes in the store.
 const CHANGE_INTERVAL: Millis = Millis(100);
 
-/// When the store begins and stops to reject some boxes.
+/// When the store begins to reject some boxes, and when it stops.
 const OUTAGE: (Millis, Millis) = (Millis(1000), Millis(12_000));
 
 /// When the processes that restart end and start.
--- a/crates/fleet/tests/suspects.rs
+++ b/crates/fleet/tests/suspects.rs
@@ -17,10 +17,10 @@
     Fingerprint::of(&Request { account: None, method: "POST", path: name, body: b"" })
 }
 
-fn crash(runner: u64, life: u64) -> Crash {
+fn crash(runner: u64, incarnation: u64) -> Crash {
     Crash {
         runner: format!("r-{runner}").parse().unwrap(),
-        life: Some(Incarnation(life)),
+        life: Some(Incarnation(incarnation)),
         nth: 0,
         release: None,
     }
--- a/crates/fleet/tests/throttle.rs
+++ b/crates/fleet/tests/throttle.rs
@@ -156,12 +156,12 @@
 fn answers() -> impl Strategy<Value = Vec<RateLimit>> {
     let one = (0..300u64, 1..500u64, prop::option::of(0..50_000u64), prop::bool::weighted(0.1));
     prop::collection::vec(one, 1..40).prop_map(|answers| {
-        let (mut answered, mut incarnation) = (1000, 1);
-        let made = answers.into_iter().map(|(pause, way, rate, restarts)| {
-            answered += pause;
+        let (mut answer_time, mut incarnation) = (1000, 1);
+        let made = answers.into_iter().map(|(pause, latency, rate, restarts)| {
+            answer_time += pause;
             incarnation += u64::from(restarts);
             let rate = rate.map(Rate);
-            let (sent_at, received_at) = (Millis(answered - way), Millis(answered + way));
+            let (sent_at, received_at) = (Millis(answer_time - latency), Millis(answer_time + latency));
             RateLimit {
                 runner: runner(),
                 incarnation: Some(Incarnation(incarnation)),
@@ -232,10 +232,10 @@
     fn shares_do_not_exceed_the_rate_in_total(
         rate in 1..100_000u64,
         demands in prop::collection::vec(0..200_000u64, 1..6),
-        cut in prop::collection::vec(any::<bool>(), 6),
+        partitioned in prop::collection::vec(any::<bool>(), 6),
     ) {
         let share = |own: usize| {
-            let demand = |other: usize| if cut[own] || cut[other] { u64::MAX } else { demands[other] };
+            let demand = |other: usize| if partitioned[own] || partitioned[other] { u64::MAX } else { demands[other] };
             let others: Vec<Rate> =
                 (0..demands.len()).filter(|other| *other != own).map(|other| Rate(demand(other))).collect();
             divide(Rate(rate), Rate(demands[own]), &others).0
