--- a/crates/node/src/plain.rs
+++ b/crates/node/src/plain.rs
@@ -11,7 +11,7 @@
 
 use crate::answer::{Answer, Body, Refusal};
 use crate::attempt::{Attempt, AttemptError, Job, Pick, send};
-use crate::candidates::{has_unlimited, pick_by_id, pick_locally as pick_free, refuse_if_backing_off};
+use crate::candidates::{has_unlimited, pick_by_id, pick_locally, refuse_if_backing_off};
 use crate::crash;
 use crate::retries;
 use crate::state::Node;
@@ -49,13 +49,13 @@
                 permit_wait = Some(wait);
                 break;
             }
-            Some(Permit::Free(claims)) => {
-                throttle::receive_rates(node, &claims);
+            Some(Permit::Free(messages)) => {
+                throttle::receive_rates(node, &messages);
                 None
             }
             Some(Permit::Wait(_)) | None => None,
         };
-        let Some(pick) = pick.or_else(|| pick_free(node, job, &tried)) else { break };
+        let Some(pick) = pick.or_else(|| pick_locally(node, job, &tried)) else { break };
         if reached_runner && !retries::spend(node, job).await {
             break;
         }
--- a/crates/node/src/throttle.rs
+++ b/crates/node/src/throttle.rs
@@ -45,7 +45,7 @@
 
 impl Query {
     fn includes(&self, runner: &id::Runner) -> bool {
-        self.claims.iter().any(|limit| limit.runner == *runner)
+        self.claims.iter().any(|message| message.runner == *runner)
     }
 }
 
@@ -61,8 +61,8 @@
 }
 
 /// Records the rate limit that a runner announced in the headers of its answer to a request sent at
-/// `asked`.
-pub(crate) fn record_rate(node: &Node, pick: &Pick, asked: Millis, headers: &HeaderMap) {
+/// `sent`.
+pub(crate) fn record_rate(node: &Node, pick: &Pick, sent: Millis, headers: &HeaderMap) {
     let rate = match header::read_rate_limit(headers) {
         Ok(rate) => rate,
         Err(error) => {
@@ -70,16 +70,10 @@
             return;
         }
     };
-    let heard = node.now();
+    let received = node.now();
     insert_rate(
         node,
-        RateLimit {
-            runner: pick.id.clone(),
-            incarnation: pick.incarnation,
-            rate,
-            sent: asked,
-            received: heard,
-        },
+        RateLimit { runner: pick.id.clone(), incarnation: pick.incarnation, rate, sent, received },
         "says",
     );
     if rate.is_some() {
@@ -87,9 +81,9 @@
     }
 }
 
-fn insert_rate(node: &Node, claim: RateLimit, verb: &str) {
-    let runner = claim.runner.clone();
-    let change = node.feedback.lock().rate_limits.apply(claim);
+fn insert_rate(node: &Node, limit: RateLimit, verb: &str) {
+    let runner = limit.runner.clone();
+    let change = node.feedback.lock().rate_limits.apply(limit);
     match change {
         Change::None => {}
         Change::Set(rate) => {
@@ -100,26 +94,27 @@
 }
 
 /// Records the rate limits that another node reports.
-pub(crate) fn receive_rates(node: &Node, claims: &[Message]) {
-    for limit in claims {
-        insert_rate(node, limit.to_rate_limit(node.now()), "is told to say");
+pub(crate) fn receive_rates(node: &Node, messages: &[Message]) {
+    for message in messages {
+        insert_rate(node, message.to_rate_limit(node.now()), "is told to say");
     }
 }
 
 /// Forgets the rate limits of removed runners.
 pub(crate) fn remove_gone(node: &Node) {
     let roster = node.roster.lock();
-    let throttles = &mut node.feedback.lock().rate_limits;
-    throttles.retain(|id| roster.get_last_known(id).is_some());
-    node.allocations.lock().retain(|id| throttles.find(id, None).is_some());
+    let rate_limits = &mut node.feedback.lock().rate_limits;
+    rate_limits.retain(|id| roster.get_last_known(id).is_some());
+    node.allocations.lock().retain(|id| rate_limits.find(id, None).is_some());
 }
 
 /// Lists the rate limits for a report to a collector: those that this node received lately, or for the
 /// report of a hall all of them.
 pub(crate) fn list_rates(node: &Node, scope: Scope) -> Vec<Message> {
     let now = node.now();
-    let throttles = &node.feedback.lock().rate_limits;
-    let rates = throttles.iter().filter(|limit| scope == Scope::Hall || now < limit.received + RESEND_WINDOW);
+    let rate_limits = &node.feedback.lock().rate_limits;
+    let rates =
+        rate_limits.iter().filter(|limit| scope == Scope::Hall || now < limit.received + RESEND_WINDOW);
     rates.map(|limit| limit.to_message(now)).collect()
 }
 
@@ -143,7 +138,7 @@
 
 /// Returns for each of these runners this hall's share of its rate and the time until the next request
 /// may be sent.
-fn list_outlooks(node: &Node, runners: &[(id::Runner, Rate)], now: Millis) -> Vec<Availability> {
+fn list_availability(node: &Node, runners: &[(id::Runner, Rate)], now: Millis) -> Vec<Availability> {
     let hall = &node.settings().hall;
     let (directory, reports) = (node.directory.lock(), node.reports.lock());
     let others = directory.list_halls().into_iter().filter(|other| *other != hall);
@@ -155,9 +150,12 @@
 }
 
 /// Returns the shortest wait of several runners and the sum of their shares.
-fn sum_outlooks(outlooks: &[Availability]) -> Option<Availability> {
-    let wait = outlooks.iter().map(|outlook| outlook.wait).min()?;
-    Some(Availability { wait, rate: Rate(outlooks.iter().map(|outlook| outlook.rate.0).sum()) })
+fn sum_availability(availabilities: &[Availability]) -> Option<Availability> {
+    let wait = availabilities.iter().map(|availability| availability.wait).min()?;
+    Some(Availability {
+        wait,
+        rate: Rate(availabilities.iter().map(|availability| availability.rate.0).sum()),
+    })
 }
 
 /// The groups that are eligible for a request and whose heads are rate-limited.
@@ -166,15 +164,15 @@
     /// The groups that may get no request now, and for how long.
     pub(crate) exhausted: Vec<(Epoch, Millis)>,
     /// The shortest wait and the total share of all of them.
-    outlook: Option<Availability>,
+    availability: Option<Availability>,
 }
 
 /// As the collector, lists the groups whose heads are rate-limited.
 pub(crate) fn list_limited(node: &Node, heads: &[&Runner], now: Millis) -> LimitedGroups {
     let (epochs, runners): (Vec<Epoch>, Vec<(id::Runner, Rate)>) = {
-        let throttles = &node.feedback.lock().rate_limits;
+        let rate_limits = &node.feedback.lock().rate_limits;
         let limited = heads.iter().filter_map(|head| {
-            let rate = throttles.find(&head.id, head.incarnation)?;
+            let rate = rate_limits.find(&head.id, head.incarnation)?;
             Some((head.membership.as_ref()?.epoch, (head.id.clone(), rate)))
         });
         limited.unzip()
@@ -182,45 +180,42 @@
     if runners.is_empty() {
         return LimitedGroups::default();
     }
-    let outlooks = list_outlooks(node, &runners, now);
-    let waits = epochs.into_iter().zip(outlooks.iter().map(|outlook| outlook.wait));
+    let availabilities = list_availability(node, &runners, now);
+    let waits = epochs.into_iter().zip(availabilities.iter().map(|availability| availability.wait));
     let exhausted = waits.filter(|(_, wait)| *wait > Millis(0)).collect();
-    LimitedGroups { exhausted, outlook: sum_outlooks(&outlooks) }
+    LimitedGroups { exhausted, availability: sum_availability(&availabilities) }
 }
 
 /// Returns the time after which a caller is to retry when all groups are exhausted, or `None` if no group
 /// is rate-limited.
 pub(crate) fn plan_retry(
     node: &Node,
-    question: &dispatch::Query,
+    query: &dispatch::Query,
     limited: &LimitedGroups,
     now: Millis,
 ) -> Option<Millis> {
-    let outlook = limited.outlook?;
-    let caller = Caller {
-        service: &question.service,
-        model: Some(&question.model),
-        remaining_time: question.patience,
-    };
-    Some(node.retry_schedule.lock().schedule(&caller, outlook, now))
+    let availability = limited.availability?;
+    let caller =
+        Caller { service: &query.service, model: Some(&query.model), remaining_time: query.patience };
+    Some(node.retry_schedule.lock().schedule(&caller, availability, now))
 }
 
 /// As the collector, counts a pick against the rate of the picked head, and as demand for the head that
 /// would be the best without its rate limit.
 pub(crate) fn record_choice(node: &Node, heads: &[&Runner], reply: Reply, best: Option<Epoch>, now: Millis) {
-    let throttles = &node.feedback.lock().rate_limits;
+    let rate_limits = &node.feedback.lock().rate_limits;
     let find_limited = |epoch: Epoch| {
         let is_in_group =
             |head: &&&Runner| head.membership.as_ref().is_some_and(|membership| membership.epoch == epoch);
         let head = heads.iter().find(is_in_group)?;
-        throttles.find(&head.id, head.incarnation).map(|_| &head.id)
+        rate_limits.find(&head.id, head.incarnation).map(|_| &head.id)
     };
     let mut allocations = node.allocations.lock();
     if let Some(best) = best.and_then(find_limited) {
         allocations.record_demand(best, now);
     }
-    if let Reply::Take(promise) = reply
-        && let Some(picked) = find_limited(promise.epoch)
+    if let Reply::Take(assignment) = reply
+        && let Some(picked) = find_limited(assignment.epoch)
     {
         allocations.spend(picked);
     }
@@ -232,11 +227,10 @@
     receive_rates(node, &query.claims);
     let now = node.now();
     let runners: Vec<(id::Runner, Rate)> = {
-        let throttles = &node.feedback.lock().rate_limits;
-        let limited = query
-            .claims
-            .iter()
-            .filter_map(|limit| Some((limit.runner.clone(), throttles.find(&limit.runner, limit.life)?)));
+        let rate_limits = &node.feedback.lock().rate_limits;
+        let limited = query.claims.iter().filter_map(|message| {
+            Some((message.runner.clone(), rate_limits.find(&message.runner, message.life)?))
+        });
         limited.collect()
     };
     if runners.is_empty() {
@@ -245,17 +239,18 @@
             feedback.rate_limits.iter().filter(is_asked).map(|limit| limit.to_message(now)).collect(),
         );
     }
-    let outlooks = list_outlooks(node, &runners, now);
+    let availabilities = list_availability(node, &runners, now);
     let mut allocations = node.allocations.lock();
     for (runner, _) in &runners {
         allocations.record_demand(runner, now);
     }
-    let available = runners.iter().zip(&outlooks).find(|(_, outlook)| outlook.wait == Millis(0));
+    let available =
+        runners.iter().zip(&availabilities).find(|(_, availability)| availability.wait == Millis(0));
     if let Some(((runner, _), _)) = available {
         allocations.spend(runner);
         return Permit::Take(runner.clone());
     }
-    let wait = sum_outlooks(&outlooks).map(|total| match query.refused {
+    let wait = sum_availability(&availabilities).map(|total| match query.refused {
         true => {
             let caller = Caller { service: &query.service, model: None, remaining_time: query.patience };
             node.retry_schedule.lock().schedule(&caller, total, now)
