--- a/crates/node/src/answer.rs
+++ b/crates/node/src/answer.rs
@@ -37,7 +37,7 @@
         match self.get_mut() {
             Body::Whole(bytes) => Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes)))),
             Body::Stream(receiver) => {
-                receiver.poll_recv(context).map(|next| next.map(|piece| piece.map(Frame::data)))
+                receiver.poll_recv(context).map(|next| next.map(|chunk| chunk.map(Frame::data)))
             }
         }
     }
--- a/crates/node/src/candidates.rs
+++ b/crates/node/src/candidates.rs
@@ -31,8 +31,8 @@
     is_eligible: impl Fn(Admission) -> bool,
 ) -> Vec<&'a Runner> {
     let (mut candidates, now) = (list_candidates(node, roster, job), node.now());
-    let said = node.feedback.lock();
-    candidates.retain(|runner| is_eligible(said.find_admission(&runner.id, runner.incarnation, now)));
+    let feedback = node.feedback.lock();
+    candidates.retain(|runner| is_eligible(feedback.find_admission(&runner.id, runner.incarnation, now)));
     candidates
 }
 
@@ -59,13 +59,14 @@
 pub fn list_rate_limited(node: &Node, job: &Job, tried: &[id::Runner]) -> Vec<(id::Runner, Rate)> {
     let (roster, now) = (node.roster.lock(), node.now());
     let candidates = list_accepting(node, &roster, job);
-    let (ledger, said) = (node.ledger.lock(), node.feedback.lock());
+    let (ledger, feedback) = (node.ledger.lock(), node.feedback.lock());
     let usable =
         candidates.into_iter().filter(|runner| !tried.contains(&runner.id) && ledger.is_healthy(runner, now));
-    let rated = usable.filter_map(|runner| match said.find_admission(&runner.id, runner.incarnation, now) {
-        Admission::RateLimited(rate) => Some((runner.id.clone(), rate)),
-        Admission::Open | Admission::BackingOff(_) => None,
-    });
+    let rated =
+        usable.filter_map(|runner| match feedback.find_admission(&runner.id, runner.incarnation, now) {
+            Admission::RateLimited(rate) => Some((runner.id.clone(), rate)),
+            Admission::Open | Admission::BackingOff(_) => None,
+        });
     rated.collect()
 }
 
@@ -86,9 +87,9 @@
     }
     let roster = node.roster.lock();
     let candidates = list_candidates(node, &roster, job);
-    let said = node.feedback.lock();
+    let feedback = node.feedback.lock();
     let backoff_ends =
-        candidates.iter().map(|runner| match said.find_admission(&runner.id, runner.incarnation, now) {
+        candidates.iter().map(|runner| match feedback.find_admission(&runner.id, runner.incarnation, now) {
             Admission::BackingOff(until) => Some(until),
             Admission::Open | Admission::RateLimited(_) => None,
         });
@@ -114,8 +115,8 @@
 pub fn has_room(node: &Node, job: &Job) -> Option<bool> {
     let roster = node.roster.lock();
     let candidates = list_unlimited(node, &roster, job);
-    let (ledger, view) = (node.ledger.lock(), node.fleet_load.lock());
-    balance::has_room(&candidates, &ledger, &view, node.now())
+    let (ledger, fleet_load) = (node.ledger.lock(), node.fleet_load.lock());
+    balance::has_room(&candidates, &ledger, &fleet_load, node.now())
 }
 
 /// Returns the head of the group that the collector chose, if this node knows it, has not tried it
@@ -152,8 +153,8 @@
     let unlimited = {
         let roster = node.roster.lock();
         let candidates = list_unlimited(node, &roster, job);
-        let (ledger, view) = (node.ledger.lock(), node.fleet_load.lock());
-        let picked = balance::pick(&candidates, tried, &ledger, &view, node.now(), &mut rand::rng());
+        let (ledger, fleet_load) = (node.ledger.lock(), node.fleet_load.lock());
+        let picked = balance::pick(&candidates, tried, &ledger, &fleet_load, node.now(), &mut rand::rng());
         picked.map(|runner| build_pick(node, job, runner))
     };
     unlimited.or_else(|| pick_by_id(node, job, &throttle::pick_without_collector(node, job, tried)?))
--- a/crates/node/src/crash.rs
+++ b/crates/node/src/crash.rs
@@ -102,7 +102,7 @@
 /// Logs the finding about an interrupted attempt and records its row accordingly.
 async fn resolve(node: &Arc<Node>, request: &str, pick: &Pick, row: Row) {
     let finding = find_shared(node, pick).await;
-    let incarnation_text = pick.incarnation.map_or("-".to_owned(), |life| life.to_string());
+    let incarnation_text = pick.incarnation.map_or("-".to_owned(), |incarnation| incarnation.to_string());
     log::info!(
         "request {request}: runner {} in incarnation {incarnation_text} has finding {} after an interrupted attempt, fingerprint {}",
         pick.id,
@@ -118,14 +118,8 @@
 
 /// Keeps an attempt until it is known whether its runner crashed.
 fn record_interruption(node: &Node, pick: &Pick, row: Row) {
-    let (runner, life, address) = (pick.id.clone(), pick.incarnation, pick.address);
-    node.interruptions.lock().record(Interruption {
-        row,
-        runner,
-        incarnation: life,
-        address,
-        at: node.now(),
-    });
+    let (runner, incarnation, address) = (pick.id.clone(), pick.incarnation, pick.address);
+    node.interruptions.lock().record(Interruption { row, runner, incarnation, address, at: node.now() });
 }
 
 /// Returns the finding about the runner of an interrupted attempt, made once for all requests.
--- a/crates/node/src/feedback.rs
+++ b/crates/node/src/feedback.rs
@@ -45,9 +45,9 @@
     for LeavingRunner { runner, life } in &digest.leaving {
         node.record_leaving(runner, *life);
     }
-    let (mut refusals, now) = (node.rejections.lock(), node.now());
+    let (mut rejections, now) = (node.rejections.lock(), node.now());
     for runner in &digest.refusing {
-        refusals.record(runner, scope == Scope::Node, now);
+        rejections.record(runner, scope == Scope::Node, now);
     }
 }
 
@@ -59,12 +59,12 @@
 
 /// Lists the runners that have been rejecting requests for a while, as far as this node knows.
 pub(crate) fn list_long_rejecting(node: &Node) -> BTreeSet<id::Runner> {
-    let own = list_rejecting(node);
-    let (mut refusals, now) = (node.rejections.lock(), node.now());
-    for runner in &own {
-        refusals.record(runner, true, now);
+    let rejecting = list_rejecting(node);
+    let (mut rejections, now) = (node.rejections.lock(), node.now());
+    for runner in &rejecting {
+        rejections.record(runner, true, now);
     }
-    refusals.list_persistent(now).cloned().collect()
+    rejections.list_persistent(now).cloned().collect()
 }
 
 /// The back pressure from the runners of a hall, as far as this node knows.
@@ -82,12 +82,12 @@
 
 /// Measures the back pressure from the runners of each hall.
 pub(crate) fn measure_backpressure(node: &Node) -> BTreeMap<id::Hall, Backpressure> {
-    let (roster, said, now) = (node.roster.lock(), node.feedback.lock(), node.now());
+    let (roster, feedback, now) = (node.roster.lock(), node.feedback.lock(), node.now());
     let mut halls: BTreeMap<id::Hall, Backpressure> = BTreeMap::new();
     for runner in roster.iter() {
         let pressure = halls.entry(runner.hall.clone()).or_default();
         pressure.leaving += usize::from(runner.draining);
-        match said.find_admission(&runner.id, runner.incarnation, now) {
+        match feedback.find_admission(&runner.id, runner.incarnation, now) {
             Admission::Open => {}
             Admission::BackingOff(_) => pressure.backing_off += 1,
             Admission::RateLimited(rate) => {
--- a/crates/node/src/in_flight.rs
+++ b/crates/node/src/in_flight.rs
@@ -138,6 +138,6 @@
             ledger.end_stream(&self.runner);
         }
         ledger.end_request(&self.runner);
-        self.node.flight_ended.notify_one();
+        self.node.attempt_ended.notify_one();
     }
 }
--- a/crates/node/src/reporting.rs
+++ b/crates/node/src/reporting.rs
@@ -72,7 +72,7 @@
     // A report is due in either case, so the outcome is unused.
     let _ = tokio::time::timeout(
         (MAX_REPORT_INTERVAL - MIN_REPORT_INTERVAL).duration(),
-        node.flight_ended.notified(),
+        node.attempt_ended.notified(),
     )
     .await;
 }
@@ -165,11 +165,11 @@
 /// Records a report and returns the reply. The reply holds what the sender gets from no other node: for
 /// a node the in-flight requests of all other nodes, for a collector those of this hall.
 pub fn receive_report(node: &Node, report: Report) -> ReportReply {
-    let (scope, own) = (report.scope, report.sum.clone());
+    let (scope, sender_in_flight) = (report.scope, report.sum.clone());
     record_report(node, report);
     let mut sum = sum_others(node, &node.sum_in_flight(), scope);
     if scope == Scope::Node {
-        sum.subtract(&own);
+        sum.subtract(&sender_in_flight);
     }
     ReportReply { sum, feedback: feedback::build_reply_digest(node, scope) }
 }
@@ -189,9 +189,9 @@
 }
 
 /// Sums up the in-flight requests of this hall, for a node also those of other halls.
-fn sum_others(node: &Node, own: &InFlight, scope: Scope) -> InFlight {
+fn sum_others(node: &Node, own_in_flight: &InFlight, scope: Scope) -> InFlight {
     let (reports, now) = (node.reports.lock(), node.now());
-    let mut sum = reports.sum_hall(own, now);
+    let mut sum = reports.sum_hall(own_in_flight, now);
     if scope == Scope::Node {
         sum.add(&reports.sum_others(now));
     }
--- a/crates/node/src/runner_stream.rs
+++ b/crates/node/src/runner_stream.rs
@@ -104,11 +104,11 @@
             None if stream.splitter.is_at_boundary() => return Ok(StreamItem::End),
             None => return Err(AttemptError::Broken("the stream ended within an event".to_owned())),
         };
-        let Ok(piece) = frame.into_data() else { continue };
+        let Ok(chunk) = frame.into_data() else { continue };
         node.ledger.lock().record_progress(&stream.pick.id, node.now());
         stream.guard.begin_stream();
         let events =
-            stream.splitter.push(&piece).map_err(|error| AttemptError::MayHaveRun(error.to_string()))?;
+            stream.splitter.push(&chunk).map_err(|error| AttemptError::MayHaveRun(error.to_string()))?;
         if !events.is_empty() {
             return Ok(StreamItem::Events(events));
         }
--- a/crates/node/src/state.rs
+++ b/crates/node/src/state.rs
@@ -132,7 +132,7 @@
     /// The client for queries to other nodes.
     pub(crate) client: Client,
     /// Notified when a request at a runner ends.
-    pub(crate) flight_ended: Notify,
+    pub(crate) attempt_ended: Notify,
     /// The in-flight reports of other nodes.
     pub reports: Mutex<occupancy::Table>,
     /// The concurrency limits by model key.
@@ -198,7 +198,7 @@
             instance: rand::rng().random(),
             findings: Mutex::default(),
             client: Client::new(Traffic::default()),
-            flight_ended: Notify::new(),
+            attempt_ended: Notify::new(),
             concurrency_limits: Mutex::default(),
             request_ended: Notify::new(),
             retry_budget: Mutex::new(Budget::new(0.0, 0.0)),
@@ -312,13 +312,13 @@
     pub(crate) fn report_invalid_item(
         &self,
         key: &str,
-        part: ItemKind,
+        kind: ItemKind,
         reason: &'static str,
         detail: impl Display,
     ) {
-        telemetry::count_invalid_item(part.name(), reason);
+        telemetry::count_invalid_item(kind.name(), reason);
         if self.invalid_items.lock().should_log(key, self.now()) {
-            log::error!("store: `{key}` ({}) is not used: {detail}", part.name());
+            log::error!("store: `{key}` ({}) is not used: {detail}", kind.name());
         }
     }
 
--- a/crates/node/src/suspects.rs
+++ b/crates/node/src/suspects.rs
@@ -46,11 +46,11 @@
     client: &Client,
     peer: &Peer,
     path: &str,
-    question: Q,
+    query: Q,
     wait: Millis,
 ) -> Result<A, CallError> {
     let (push, pushed_mark) = node.gossip_peers.lock().build_push(&node.suspects.lock(), &peer.node);
-    let envelope = Envelope { question, push };
+    let envelope = Envelope { question: query, push };
     let reply: EnvelopeReply<A> = client.call(peer.address, path, &envelope, wait).await?;
     node.gossip_peers.lock().record_pull(&peer.node, pushed_mark, reply.pull.mark);
     merge_rows(node, &reply.pull.rows, Origin::Elsewhere);
--- a/crates/node/src/sync.rs
+++ b/crates/node/src/sync.rs
@@ -186,7 +186,7 @@
     /// Queries readers of the hall for everything that the store holds. Returns true if none of them
     /// had it, but one may have it soon.
     async fn query_start_readers(&mut self, settings: &Settings) -> bool {
-        let mut may_know_soon = false;
+        let mut may_have_copy_soon = false;
         for reader in self.list_start_readers(settings) {
             let asked = self.node.now();
             match self.query(&reader, Millis(0)).await {
@@ -198,11 +198,11 @@
                 Err(error) => {
                     log::info!("sync: {} returned no copy of the store: {error}", reader.node);
                     let took = self.node.now().since(asked);
-                    may_know_soon |= error.failure(took) == Failure::Stale;
+                    may_have_copy_soon |= error.failure(took) == Failure::Stale;
                 }
             }
         }
-        may_know_soon
+        may_have_copy_soon
     }
 
     /// Lists the readers that a starting node queries.
--- a/crates/node/src/telemetry.rs
+++ b/crates/node/src/telemetry.rs
@@ -119,8 +119,8 @@
 }
 
 /// Counts an invalid item of the store by its kind and the reason.
-pub fn count_invalid_item(part: &'static str, reason: &'static str) {
-    metrics::counter!("cottoncrank_items_unreadable_total", "part" => part, "reason" => reason).increment(1);
+pub fn count_invalid_item(kind: &'static str, reason: &'static str) {
+    metrics::counter!("cottoncrank_items_unreadable_total", "part" => kind, "reason" => reason).increment(1);
 }
 
 /// Counts a stream that was cut after its first event.
