--- a/crates/node/src/answer.rs
+++ b/crates/node/src/answer.rs
@@ -54,7 +54,7 @@
     }
 }
 
-/// Why a request was refused or given up.
+/// Why a request was refused, or ended without an answer that can be forwarded.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum Refusal {
     /// No route has this host and path.
@@ -69,7 +69,7 @@
     /// The body broke off.
     #[error("the body broke off")]
     BrokenBody,
-    /// The node's configuration is missing or too old to judge the request. The request has not
+    /// The node's configuration is missing or too old to decide about the request, which has not
     /// run.
     #[error("this node cannot judge requests at present")]
     StaleConfig,
--- a/crates/node/src/attempt.rs
+++ b/crates/node/src/attempt.rs
@@ -28,7 +28,7 @@
     pub head: Parts,
     /// The body.
     pub body: Bytes,
-    /// The terms that the caller's headers set, such as the deadline.
+    /// What the caller's headers say about the request, such as its timeout.
     pub terms: RequestMetadata,
     /// The route.
     pub route: Arc<Route>,
@@ -40,7 +40,7 @@
     pub account: Option<id::Account>,
     /// The priority; 0 is the most urgent.
     pub priority: u8,
-    /// Equal for a request and a repetition of it.
+    /// The fingerprint, which a request shares with its repetitions.
     pub fingerprint: Fingerprint,
     /// When the request arrived.
     pub arrived: Millis,
@@ -63,8 +63,8 @@
         self.catalog.find_service(&self.service).and_then(|service| service.engine.as_ref())
     }
 
-    /// Whether the deadline has passed. The caller has stopped waiting then, and no runner may be
-    /// sent a time that does not exist.
+    /// Whether the deadline has passed. The caller has stopped waiting by then, and no runner may be
+    /// sent a timeout of zero.
     pub fn is_expired(&self, node: &Node) -> bool {
         node.now() >= self.deadline
     }
@@ -209,8 +209,8 @@
         AttemptError::Unreached(error.to_string())
     })?;
     node.ledger.lock().record_connect(&pick.hall);
-    // The runner may have announced a backoff while this connection was made: of many requests in
-    // flight at that time, those that have not reached the runner are not sent.
+    // The runner may have announced a backoff while this connection was made. Requests that have not
+    // reached the runner by then are not sent.
     if backoff::is_backing_off(node, &pick.id, pick.incarnation) {
         return Err(AttemptError::Unreached("it wants no requests at present".to_owned()));
     }
--- a/crates/node/src/backoff.rs
+++ b/crates/node/src/backoff.rs
@@ -7,7 +7,7 @@
 
 use crate::state::Node;
 
-/// The backoff of a runner that names an invalid time. It has still asked for no requests, and
+/// The backoff of a runner that names an invalid time. It asked for no requests all the same, and
 /// callers of a full fleet retry after a second or more.
 const DEFAULT_BACKOFF: Millis = Millis(1000);
 
--- a/crates/node/src/crash.rs
+++ b/crates/node/src/crash.rs
@@ -1,4 +1,4 @@
-//! Finding out whether a runner crashed when an attempt at it broke off.
+//! Finds out whether a runner crashed when an attempt at it broke off.
 
 use std::collections::HashMap;
 use std::io::ErrorKind;
@@ -38,7 +38,7 @@
 /// How often such a runner is probed in total.
 const MAX_PROBES: usize = 3;
 
-/// The pauses before the follow-up probes of a runner about which nothing could be found out. A crashed
+/// The pauses before the follow-up probes of a runner about which the finding is unknown. A crashed
 /// runner is back after some seconds, but its entry may take longer, or the store be unavailable.
 const FOLLOW_UP_PAUSES: [Millis; 4] = [Millis(500), Millis(1000), Millis(1500), Millis(2000)];
 
@@ -140,7 +140,7 @@
     finding
 }
 
-/// Probes a runner again about which nothing could be found out.
+/// Probes a runner again after an unknown finding.
 async fn follow_up(node: Arc<Node>, pick: Pick) {
     for pause in FOLLOW_UP_PAUSES {
         tokio::time::sleep(pause.duration()).await;
--- a/crates/node/src/decider.rs
+++ b/crates/node/src/decider.rs
@@ -259,8 +259,8 @@
     }
 
     /// Adopts groups that serve but are in no plan, because the store has lost their plan, and returns
-    /// the plans with them. A domain with a group of which only some members are seen is closed until
-    /// the plans are read again.
+    /// the plans with them. A domain with a group whose members are only partly known is closed
+    /// until the plans are read again.
     fn adopt_groups(&mut self) -> Vec<(id::Domain, Document, Vec<String>)> {
         let Some(catalog) = self.node.catalog.lock().clone() else { return Vec::new() };
         let adoption = adopt(&catalog.services, &self.node.roster.lock(), &self.plans.list_documents());
--- a/crates/node/src/dispatch.rs
+++ b/crates/node/src/dispatch.rs
@@ -22,7 +22,7 @@
 /// node picks a runner itself.
 pub(crate) const COLLECTOR_TIMEOUT: Millis = Millis(40);
 
-/// How long a collector that did not answer is not asked again.
+/// How long a collector that did not answer is not queried again.
 const COLLECTOR_AVOID_TIME: Millis = Millis(1000);
 
 /// The most samples kept until the next query: there may be no collector to send them to.
@@ -75,7 +75,7 @@
     }
 }
 
-/// Returns the collector that this node asks.
+/// Returns the collector that this node sends queries to, unless all candidates are avoided.
 pub(crate) fn find_available_collector(node: &Node) -> Option<Peer> {
     let hall = &node.settings().hall;
     let mut avoided = node.unreachable_for_queries.lock();
@@ -83,7 +83,7 @@
     find_collector(node, hall, &avoided)
 }
 
-/// Stops asking a collector for a while, because it did not answer a query.
+/// Sends a collector no queries for a while, because it did not answer one.
 pub(crate) fn avoid_collector(node: &Node, collector: Peer) {
     node.unreachable_for_queries.lock().insert(collector.node, node.now() + COLLECTOR_AVOID_TIME);
 }
@@ -94,7 +94,7 @@
     runners.iter().filter_map(find_epoch).collect()
 }
 
-/// As the collector, records the in-flight report of the asking node and chooses a group.
+/// As the collector, records the in-flight report of the querying node and chooses a group.
 pub fn answer_query(node: &Node, query: Query) -> Reply {
     reporting::record_report(node, query.report.clone());
     let reply = choose_group(node, &query);
--- a/crates/node/src/era.rs
+++ b/crates/node/src/era.rs
@@ -26,7 +26,7 @@
     }
 }
 
-/// Applies the restore of the store from an older copy, of which `batch` is the whole content.
+/// Applies the restore of the store from an older copy. `batch` is the whole content of that copy.
 /// Configurations and plans held here that are newer replace those in the batch.
 pub(crate) fn apply_restore(node: &Node, former_position: Position, batch: &mut Batch) {
     log::warn!(
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -9,19 +9,19 @@
 //!   node, the decider or a reader of its hall.
 //! - [`feed`] keeps the content of the store for the nodes that poll this one, and [`peer`] carries the
 //!   change polls.
-//! - `intake` applies the content and its changes to the state; [`plans`] reads the domain plans.
-//! - `unreadable` limits the log lines about invalid items.
+//! - `apply` applies the content and its changes to the state; [`plans`] reads the domain plans.
+//! - `invalid_items` limits the log lines about invalid items.
 //! - `era` carries items over when the store is restored from an older copy.
-//! - [`member`] writes the entry of this node to the store, and `presence`, on the collector of a hall,
+//! - [`registration`] writes the entry of this node to the store, and `presence`, on the collector of a hall,
 //!   removes the entries of nodes that are gone.
 //!
 //! # Reporting in-flight requests
 //!
-//! - [`collect`] sends in-flight reports to the collector of the hall, or as the collector to those of the
+//! - [`reporting`] sends in-flight reports to the collector of the hall, or as the collector to those of the
 //!   other halls, and answers those that it receives.
-//! - [`news`] adds to the reports what runners announced about themselves in answers.
-//! - [`flight`] counts the requests in flight at this node and limits their concurrency.
-//! - `avoid` passes over nodes that did not answer, for a while.
+//! - [`feedback`] adds to the reports what runners announced about themselves in answers.
+//! - [`in_flight`] counts the requests in flight at this node and limits their concurrency.
+//! - `denylist` lists nodes that did not answer and are not called for a while.
 //!
 //! # Deciding
 //!
@@ -33,13 +33,15 @@
 //! - [`front`] listens for callers and for the balancer, [`request`] admits and routes requests, and
 //!   [`answer`] builds the answers and refusals.
 //! - [`plain`] serves requests with a whole answer. [`stream`] serves streams: `tries` makes one attempt
-//!   after another, `source` reads the events of one attempt, and `relay` passes them on.
+//!   after another, `runner_stream` reads the events of one attempt, and `relay` forwards
+//!   them to the caller.
 //! - [`attempt`] sends a request to a runner over a [`channel`].
 //! - `dispatch` asks the collector which group takes a request, and answers as the collector.
 //!   `candidates` finds the runners that a request may be sent to.
-//! - `throttle` keeps to the rate limits that runners announced, and `backoff` records which runners
+//! - `throttle` enforces the rate limits that runners announced, and `backoff` records which runners
 //!   are backing off.
-//! - `retries` pays for further attempts from the retry budget of the node or the shared pool of the hall.
+//! - `retries` takes a retry token for each further attempt, from the retry budget of the node or the
+//!   shared retry pool of the hall.
 //!
 //! # Suspected requests
 //!
--- a/crates/node/src/peer.rs
+++ b/crates/node/src/peer.rs
@@ -48,12 +48,12 @@
 /// The path of an in-flight report.
 const REPORT_PATH: &str = "/in-flight";
 
-/// The largest query or report, in bytes. A report has about 5 bytes for each group, of which there
-/// are at most 1000, and about 100 for each suspected request that is new.
+/// The largest query or report, in bytes. A report has about 5 bytes for each of at most
+/// 1000 groups, and about 100 for each suspected request that is new.
 const MAX_QUERY_BYTES: usize = 64 * 1024;
 
-/// How long the answer to a change poll may take to begin beyond the wait that the poll asks for, and
-/// how long it may pause. The whole content of the store is in transit for seconds when many nodes
+/// How much longer than the wait of a change poll its answer may take to begin, and how long the
+/// answer may pause. The whole content of the store is in transit for seconds when many nodes
 /// poll a small box at once, so there is no bound for the whole answer.
 const CALL_MARGIN: Millis = Millis(400);
 
--- a/crates/node/src/prober.rs
+++ b/crates/node/src/prober.rs
@@ -18,7 +18,7 @@
 const PROBE_TIMEOUT: Millis = Millis(250);
 
 /// The pause between two rounds of probes. A lost runner is detected within one round, three times as
-/// fast as by the lapse of its entry.
+/// fast as by the expiry of its entry.
 const ROUND_DELAY: Millis = Millis(450);
 
 /// Probes all members of groups in rounds, until the task is aborted. Members whose entry is gone are
--- a/crates/node/src/registration.rs
+++ b/crates/node/src/registration.rs
@@ -14,7 +14,7 @@
 /// The key prefix of the entries. The names of the hall and of the node follow.
 const PREFIX: &str = "node/";
 
-/// How long a restarted node waits at most until it knows whether its entry still exists.
+/// The longest time that a restarted node waits to learn whether its entry still exists.
 const SYNC_TIMEOUT: Millis = Millis(1000);
 
 /// The time within which a write to the store usually shows in this node's copy of it.
--- a/crates/node/src/relay.rs
+++ b/crates/node/src/relay.rs
@@ -23,7 +23,7 @@
     tries: Tries,
     sender: mpsc::Sender<Result<Bytes, Cut>>,
     stream: RunnerStream,
-    /// Whether a too long pause was logged already.
+    /// Whether a pause longer than the route's target was logged already.
     gap_logged: bool,
     /// Counts the request as in flight until it ends.
     _guards: (RequestGuard, LimitGuard),
--- a/crates/node/src/reporting.rs
+++ b/crates/node/src/reporting.rs
@@ -18,8 +18,8 @@
 use crate::state::Node;
 use crate::throttle;
 
-/// The minimum pause between two reports of a node. Only at a node with many requests do several of
-/// them end within this time.
+/// The minimum pause between two reports of a node. Several requests end within this time
+/// only at a busy node.
 const MIN_REPORT_INTERVAL: Millis = Millis(50);
 
 /// The pause of a collector between its reports to the collectors of other halls. A busy group starts
--- a/crates/node/src/retries.rs
+++ b/crates/node/src/retries.rs
@@ -1,5 +1,5 @@
-//! Pays for sending requests again: from this node's own retry budget, or else with a retry that
-//! the hall's collector grants from the shared pool.
+//! Retry tokens for requests that are sent again: from this node's own retry budget, or else granted
+//! by the hall's collector from the shared retry pool.
 
 use std::sync::Arc;
 
@@ -17,7 +17,7 @@
 /// twice in other ways.
 const BUDGET_FRACTION: f64 = 0.8;
 
-/// Asks the collector for one retry.
+/// Asks the collector for a retry token.
 #[derive(Serialize, Deserialize)]
 pub(crate) struct Query {
     /// The node that asks.
@@ -29,7 +29,7 @@
     Share::of(node.settings().bounds.retry_slack * BUDGET_FRACTION, node.directory.lock().count())
 }
 
-/// Returns how many retries one request pays for.
+/// Returns how many retry tokens each request deposits.
 fn compute_ratio(node: &Node) -> f64 {
     node.settings().bounds.retry_ratio * BUDGET_FRACTION
 }
@@ -51,13 +51,13 @@
     node.retry_pool.lock().set_capacity(compute_share(node).pooled * nodes as f64, window, now);
 }
 
-/// As the collector, credits the pool for a request of its hall.
+/// As the collector, makes the deposit of a request of its hall into the pool.
 pub(crate) fn deposit_pooled(node: &Node) {
     let deposit = compute_ratio(node) * (1.0 - compute_share(node).budget_fraction());
     node.retry_pool.lock().deposit(deposit);
 }
 
-/// As the collector, grants a retry if the pool has one.
+/// As the collector, grants a retry token if the pool has one.
 pub(crate) fn grant(node: &Node, query: &Query) -> bool {
     let granted = node.retry_pool.lock().grant();
     if !granted {
@@ -67,7 +67,7 @@
     granted
 }
 
-/// Pays for sending a request again. Returns false if that is not allowed.
+/// Takes a retry token for sending a request again. Returns false if none is left.
 pub(crate) async fn spend(node: &Arc<Node>, job: &Job) -> bool {
     if node.retry_budget.lock().withdraw() {
         return true;
--- a/crates/node/src/start.rs
+++ b/crates/node/src/start.rs
@@ -57,7 +57,7 @@
 
 /// Drains the node before it stops.
 ///
-/// The node reports that it is not ready and accepts requests until the balancer must have noticed. Then
+/// The node reports that it is not ready but accepts requests until the balancer must have noticed. Then
 /// it rejects new requests, which might not finish before the kill, and waits for those in flight as long
 /// as the grace period allows.
 pub async fn drain(node: &Node) {
--- a/crates/node/src/state.rs
+++ b/crates/node/src/state.rs
@@ -119,7 +119,7 @@
     pub(crate) trial_baseline: Mutex<Baseline>,
     /// The trial runs of suspected requests that this node has started.
     pub(crate) trials: Mutex<Trials>,
-    /// Interrupted attempts at runners of which it is not known whether they crashed.
+    /// Interrupted attempts at runners that may have crashed; it is not known yet.
     pub(crate) interruptions: Mutex<Interruptions>,
     /// Counts the suspensions of this process.
     pub(crate) resumed: watch::Sender<u64>,
--- a/crates/node/src/suspect_store.rs
+++ b/crates/node/src/suspect_store.rs
@@ -26,7 +26,7 @@
 /// known to the others within some 0.3 s, so most find the entry written already.
 const WRITE_STAGGER: Millis = Millis(300);
 
-/// The pause after a failed call of the store.
+/// The pause after a failed call to the store.
 const RETRY_PAUSE: Millis = Millis(1000);
 
 /// The maximum number of entries in one commit, below the limit of the store.
--- a/crates/node/src/suspects.rs
+++ b/crates/node/src/suspects.rs
@@ -31,7 +31,7 @@
     pub(crate) push: Push,
 }
 
-/// The answer to an envelope.
+/// The reply to an envelope: the answer to the query, with gossip in return.
 #[derive(Serialize, Deserialize)]
 pub(crate) struct EnvelopeReply<A> {
     /// The answer to the query.
--- a/crates/node/src/telemetry.rs
+++ b/crates/node/src/telemetry.rs
@@ -56,7 +56,7 @@
         .increment(answer_bytes as u64);
 }
 
-/// Counts queries of the decider to runners.
+/// Counts probes that the decider sent to runners.
 pub fn count_probes(count: usize) {
     metrics::counter!("cottoncrank_runner_questions_total").increment(count as u64);
 }
--- a/crates/node/src/throttle.rs
+++ b/crates/node/src/throttle.rs
@@ -25,8 +25,8 @@
 use crate::state::Node;
 use crate::telemetry;
 
-/// How long a node includes a rate that it received in the reports to its collector. Earlier reports
-/// had what is older.
+/// How long a node includes a rate that it received in the reports to its collector. Rates
+/// received earlier were in previous reports.
 const RESEND_WINDOW: Millis = Millis(2000);
 
 /// Asks the collector for a permit to send a request to one of several rate-limited runners.
@@ -34,8 +34,8 @@
 pub(crate) struct Query {
     /// The service of the request.
     service: id::Service,
-    /// Whether the request is refused without a permit, because no other runner takes it. The caller
-    /// is then told when to retry.
+    /// Whether the request is refused without a permit, because no other runner takes it. The answer
+    /// then tells the caller when to retry.
     refused: bool,
     /// The remaining time of the caller, if it is known.
     patience: Option<Millis>,
