--- a/crates/node/src/answer.rs
+++ b/crates/node/src/answer.rs
@@ -19,7 +19,7 @@
 
 /// The body of an answer.
 pub enum Body {
-    /// The whole body; none once it has been sent.
+    /// The whole body; `None` once it has been sent.
     Whole(Option<Bytes>),
     /// Chunks as they arrive. An error closes the connection, so that a broken answer does not look
     /// complete.
@@ -96,7 +96,7 @@
     Backoff {
         /// The time until the first backoff ends.
         wait: Millis,
-        /// How long the caller still waits; none if the caller did not say.
+        /// How long the caller still waits; `None` if the caller did not say.
         remaining: Option<Millis>,
     },
     /// All runners that can take the request are at the rate that they accept from all nodes
@@ -105,7 +105,7 @@
     Throttled {
         /// The time until one of them accepts a request.
         wait: Millis,
-        /// How long the caller still waits; none if the caller did not say.
+        /// How long the caller still waits; `None` if the caller did not say.
         remaining: Option<Millis>,
     },
     /// Runners were tried, and none of them ran the request.
--- a/crates/node/src/apply.rs
+++ b/crates/node/src/apply.rs
@@ -39,7 +39,7 @@
 }
 
 /// Applies an update, and adds it to the feed for nodes that poll this one. `before` is the latest
-/// store position that was known before the update; none at the start.
+/// store position that was known before the update; `None` at the start.
 pub fn apply_update(node: &Node, mut update: Update, before: Option<Position>) {
     let former = before.filter(|before| before.era() < update.batch.position.era());
     if let Some(before) = former {
--- a/crates/node/src/attempt.rs
+++ b/crates/node/src/attempt.rs
@@ -69,7 +69,7 @@
         node.now() >= self.deadline
     }
 
-    /// Returns how long the caller still waits; none if the caller did not say.
+    /// Returns how long the caller still waits; `None` if the caller did not say.
     pub fn remaining_time(&self, now: Millis) -> Option<Millis> {
         self.terms.timeout.map(|wait| (self.arrived + wait).since(now))
     }
--- a/crates/node/src/candidates.rs
+++ b/crates/node/src/candidates.rs
@@ -79,7 +79,7 @@
 }
 
 /// Returns the refusal of a request whose candidates are all backing off, because neither waiting
-/// nor another try would help. Returns none if a candidate accepts requests.
+/// nor another try would help. Returns `None` if a candidate accepts requests.
 pub fn refuse_if_backing_off(node: &Node, job: &Job) -> Option<Refusal> {
     let now = node.now();
     if node.feedback.lock().backoffs.is_empty(now) {
@@ -111,7 +111,7 @@
     node.trial_baseline.lock().record(&service, model.as_ref(), healthy, now)
 }
 
-/// Whether the request's runners have room for it; none if that is unknown.
+/// Whether the request's runners have room for it; `None` if that is unknown.
 pub fn has_room(node: &Node, job: &Job) -> Option<bool> {
     let roster = node.roster.lock();
     let candidates = list_unlimited(node, &roster, job);
--- a/crates/node/src/dispatch.rs
+++ b/crates/node/src/dispatch.rs
@@ -39,7 +39,7 @@
     }
 }
 
-/// Asks which group takes a request, leaving out the groups of the runners in `tried`. Returns none
+/// Asks which group takes a request, leaving out the groups of the runners in `tried`. Returns `None`
 /// if there is no collector, it does not answer, or the request's model is not configured.
 pub async fn query_collector(
     node: &Arc<Node>,
@@ -104,7 +104,7 @@
     reply
 }
 
-/// Returns the halls from which this node receives no in-flight reports; none if too few nodes of
+/// Returns the halls from which this node receives no in-flight reports; `None` if too few nodes of
 /// its own hall report.
 fn list_silent_halls(node: &Node, hall: &id::Hall, now: Millis) -> Option<Vec<id::Hall>> {
     let directory = node.directory.lock();
--- a/crates/node/src/era.rs
+++ b/crates/node/src/era.rs
@@ -16,7 +16,7 @@
 use crate::state::Node;
 use crate::telemetry;
 
-/// Returns the version of a configuration or a plan; a greater version is newer. Returns none for all
+/// Returns the version of a configuration or a plan; a greater version is newer. Returns `None` for all
 /// other items, which their writers write again.
 fn read_version(raw: &RawItem) -> Option<u64> {
     match decode(raw.clone()) {
--- a/crates/node/src/feed.rs
+++ b/crates/node/src/feed.rs
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Returns `after` if every change after it is known, else none.
+    /// Returns `after` if every change after it is known, else `None`.
     fn resolve_start(&self, after: Option<Position>) -> Option<Position> {
         let in_gap = |after: &Position| self.gaps.iter().any(|(begin, end)| begin < after && after < end);
         after.filter(|after| *after >= self.complete_since && !in_gap(after))
--- a/crates/node/src/plans.rs
+++ b/crates/node/src/plans.rs
@@ -24,7 +24,7 @@
 
 /// A plan and its position in the store.
 pub(crate) struct StoredPlan {
-    /// The store position of the plan; none if the store does not hold it.
+    /// The store position of the plan; `None` if the store does not hold it.
     pub(crate) position: Option<Position>,
     /// The plan.
     pub(crate) document: Document,
@@ -73,7 +73,7 @@
     key.strip_prefix(PREFIX).map(str::parse)
 }
 
-/// Decodes a plan. Returns none if the item is something else.
+/// Decodes a plan. Returns `None` if the item is something else.
 pub fn decode_plan(item: &Item) -> Result<Option<(id::Domain, Document)>, PlanError> {
     let invalid = |reason: String| PlanError { key: item.key.clone(), reason };
     let Some(domain) = parse_domain(&item.key) else { return Ok(None) };
--- a/crates/node/src/registration.rs
+++ b/crates/node/src/registration.rs
@@ -84,7 +84,7 @@
     format!("{PREFIX}{hall}/")
 }
 
-/// Decodes a node's entry. Returns none if the item is something else.
+/// Decodes a node's entry. Returns `None` if the item is something else.
 pub fn decode_entry(item: &Item) -> Option<Result<Peer, rmp_serde::decode::Error>> {
     item.key.strip_prefix(PREFIX)?;
     Some(rmp_serde::from_slice(&item.value))
--- a/crates/node/src/tries.rs
+++ b/crates/node/src/tries.rs
@@ -36,7 +36,7 @@
     reached_runner: bool,
     /// The group that the collector chose for the next try.
     next_assignment: Option<Assignment>,
-    /// The assignment that the current try follows; none if this node picked the runner.
+    /// The assignment that the current try follows; `None` if this node picked the runner.
     pub assignment: Option<Assignment>,
 }
 
