--- a/crates/node/src/answer.rs
+++ b/crates/node/src/answer.rs
@@ -19,7 +19,7 @@
 
 /// The body of an answer.
 pub enum Body {
-    /// The whole body; none once it has been sent.
+    /// The whole body; `None` once it has been sent.
     Whole(Option<Bytes>),
     /// Chunks as they arrive. An error closes the connection, so that a broken answer does not look
     /// complete.
@@ -37,7 +37,7 @@
         match self.get_mut() {
             Body::Whole(bytes) => Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes)))),
             Body::Stream(receiver) => {
-                receiver.poll_recv(context).map(|next| next.map(|piece| piece.map(Frame::data)))
+                receiver.poll_recv(context).map(|next| next.map(|chunk| chunk.map(Frame::data)))
             }
         }
     }
@@ -54,7 +54,7 @@
     }
 }
 
-/// Why a request was refused or given up.
+/// Why a request was refused, or ended without an answer that can be forwarded.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum Refusal {
     /// No route has this host and path.
@@ -69,7 +69,7 @@
     /// The body broke off.
     #[error("the body broke off")]
     BrokenBody,
-    /// The node's configuration is missing or too old to judge the request. The request has not
+    /// The node's configuration is missing or too old to decide about the request, which has not
     /// run.
     #[error("this node cannot judge requests at present")]
     StaleConfig,
@@ -96,7 +96,7 @@
     Backoff {
         /// The time until the first backoff ends.
         wait: Millis,
-        /// How long the caller still waits; none if the caller did not say.
+        /// How long the caller still waits; `None` if the caller did not say.
         remaining: Option<Millis>,
     },
     /// All runners that can take the request are at the rate that they accept from all nodes
@@ -105,7 +105,7 @@
     Throttled {
         /// The time until one of them accepts a request.
         wait: Millis,
-        /// How long the caller still waits; none if the caller did not say.
+        /// How long the caller still waits; `None` if the caller did not say.
         remaining: Option<Millis>,
     },
     /// Runners were tried, and none of them ran the request.
--- a/crates/node/src/crash.rs
+++ b/crates/node/src/crash.rs
@@ -1,4 +1,4 @@
-//! Finding out whether a runner crashed when an attempt at it broke off.
+//! Finds out whether a runner crashed when an attempt at it broke off.
 
 use std::collections::HashMap;
 use std::io::ErrorKind;
@@ -38,7 +38,7 @@
 /// How often such a runner is probed in total.
 const MAX_PROBES: usize = 3;
 
-/// The pauses before the follow-up probes of a runner about which nothing could be found out. A crashed
+/// The pauses before the follow-up probes of a runner about which the finding is unknown. A crashed
 /// runner is back after some seconds, but its entry may take longer, or the store be unavailable.
 const FOLLOW_UP_PAUSES: [Millis; 4] = [Millis(500), Millis(1000), Millis(1500), Millis(2000)];
 
@@ -102,7 +102,7 @@
 /// Logs the finding about an interrupted attempt and records its row accordingly.
 async fn resolve(node: &Arc<Node>, request: &str, pick: &Pick, row: Row) {
     let finding = find_shared(node, pick).await;
-    let incarnation_text = pick.incarnation.map_or("-".to_owned(), |life| life.to_string());
+    let incarnation_text = pick.incarnation.map_or("-".to_owned(), |incarnation| incarnation.to_string());
     log::info!(
         "request {request}: runner {} in incarnation {incarnation_text} has finding {} after an interrupted attempt, fingerprint {}",
         pick.id,
@@ -118,14 +118,8 @@
 
 /// Keeps an attempt until it is known whether its runner crashed.
 fn record_interruption(node: &Node, pick: &Pick, row: Row) {
-    let (runner, life, address) = (pick.id.clone(), pick.incarnation, pick.address);
-    node.interruptions.lock().record(Interruption {
-        row,
-        runner,
-        incarnation: life,
-        address,
-        at: node.now(),
-    });
+    let (runner, incarnation, address) = (pick.id.clone(), pick.incarnation, pick.address);
+    node.interruptions.lock().record(Interruption { row, runner, incarnation, address, at: node.now() });
 }
 
 /// Returns the finding about the runner of an interrupted attempt, made once for all requests.
@@ -146,7 +140,7 @@
     finding
 }
 
-/// Probes a runner again about which nothing could be found out.
+/// Probes a runner again after an unknown finding.
 async fn follow_up(node: Arc<Node>, pick: Pick) {
     for pause in FOLLOW_UP_PAUSES {
         tokio::time::sleep(pause.duration()).await;
--- a/crates/node/src/era.rs
+++ b/crates/node/src/era.rs
@@ -16,7 +16,7 @@
 use crate::state::Node;
 use crate::telemetry;
 
-/// Returns the version of a configuration or a plan; a greater version is newer. Returns none for all
+/// Returns the version of a configuration or a plan; a greater version is newer. Returns `None` for all
 /// other items, which their writers write again.
 fn read_version(raw: &RawItem) -> Option<u64> {
     match decode(raw.clone()) {
@@ -26,7 +26,7 @@
     }
 }
 
-/// Applies the restore of the store from an older copy, of which `batch` is the whole content.
+/// Applies the restore of the store from an older copy. `batch` is the whole content of that copy.
 /// Configurations and plans held here that are newer replace those in the batch.
 pub(crate) fn apply_restore(node: &Node, former_position: Position, batch: &mut Batch) {
     log::warn!(
--- a/crates/node/src/registration.rs
+++ b/crates/node/src/registration.rs
@@ -14,7 +14,7 @@
 /// The key prefix of the entries. The names of the hall and of the node follow.
 const PREFIX: &str = "node/";
 
-/// How long a restarted node waits at most until it knows whether its entry still exists.
+/// The longest time that a restarted node waits to learn whether its entry still exists.
 const SYNC_TIMEOUT: Millis = Millis(1000);
 
 /// The time within which a write to the store usually shows in this node's copy of it.
@@ -84,7 +84,7 @@
     format!("{PREFIX}{hall}/")
 }
 
-/// Decodes a node's entry. Returns none if the item is something else.
+/// Decodes a node's entry. Returns `None` if the item is something else.
 pub fn decode_entry(item: &Item) -> Option<Result<Peer, rmp_serde::decode::Error>> {
     item.key.strip_prefix(PREFIX)?;
     Some(rmp_serde::from_slice(&item.value))
