--- a/crates/node/tests/requests.rs
+++ b/crates/node/tests/requests.rs
@@ -1,4 +1,4 @@
-//! Requests under failure, against the platform's stand-ins.
+//! Requests under failures, run against stand-ins of the platform's store and runners.
 
 mod common;
 
@@ -20,7 +20,7 @@
 }
 
 #[tokio::test]
-async fn a_stream_passes_whole_and_the_runner_learns_the_account_only() {
+async fn a_stream_is_delivered_whole_and_the_runner_receives_the_account_but_no_key() {
     let fleet = Fleet::serving(1).await;
     let answer = fleet.ask(STREAM, "r1").await;
     assert_eq!((answer.status, answer.whole), (200, true), "{answer:?}");
@@ -32,7 +32,7 @@
 }
 
 #[tokio::test]
-async fn a_node_without_configuration_refuses_what_it_cannot_judge() {
+async fn a_node_without_configuration_refuses_requests_and_is_not_ready() {
     let fleet = Fleet::bare(1).await;
     let answer = fleet.ask(STREAM, "r1").await;
     assert_eq!(answer.status, 503, "{answer:?}");
@@ -49,13 +49,13 @@
 }
 
 #[tokio::test]
-async fn a_broken_stream_goes_on_at_another_group_after_its_last_whole_event() {
+async fn a_broken_stream_resumes_at_another_group_after_its_last_complete_event() {
     let fleet = Fleet::serving(1).await;
     for at in 0..EVENTS {
         for (number, head) in fleet.heads().into_iter().enumerate() {
             head.set_fault(if number == 0 { Fault::Broken(at) } else { Fault::None });
         }
-        // The group is picked at random: until the broken one was it.
+        // The group is picked at random, so this repeats until the broken one is picked.
         for turn in 0..40 {
             let request = format!("r-{at}-{turn}");
             let answer = fleet.ask(STREAM, &request).await;
@@ -70,7 +70,7 @@
 }
 
 #[tokio::test]
-async fn answers_of_other_requests_and_short_ones_never_reach_the_caller() {
+async fn answers_to_other_requests_and_truncated_answers_never_reach_the_caller() {
     let fleet = Fleet::serving(1).await;
     for (number, fault) in [Fault::Foreign, Fault::Short, Fault::Lost].into_iter().enumerate() {
         for runner in &fleet.plain {
@@ -78,14 +78,17 @@
         }
         let request = format!("r-{number}");
         let answer = fleet.ask(ONCE, &request).await;
-        assert_eq!(answer.status, 502, "{fault:?}: it may have run, and 503 would deny that: {answer:?}");
+        assert_eq!(
+            answer.status, 502,
+            "{fault:?}: the request may have run, so 503 would be wrong: {answer:?}"
+        );
         assert!(!answer.is_signed(&request));
-        assert_eq!(fleet.runs(&request), 1, "{fault:?}: it must not run twice");
+        assert_eq!(fleet.runs(&request), 1, "{fault:?}: the request must not run twice");
     }
 }
 
 #[tokio::test]
-async fn a_repeatable_request_is_sent_to_another_runner() {
+async fn an_idempotent_request_is_retried_on_another_runner() {
     let fleet = Fleet::serving(1).await;
     for fault in [Fault::Foreign, Fault::Short, Fault::Full] {
         fleet.plain[0].set_fault(fault);
@@ -99,7 +102,7 @@
 }
 
 #[tokio::test]
-async fn what_no_runner_ran_is_said_not_to_have_run() {
+async fn a_request_that_no_runner_ran_is_reported_as_not_run() {
     let fleet = Fleet::serving(1).await;
     for runner in &fleet.plain {
         runner.set_fault(Fault::Full);
@@ -111,11 +114,11 @@
 }
 
 #[tokio::test]
-async fn a_dark_member_is_replaced_and_its_requests_go_elsewhere() {
+async fn an_unreachable_member_is_replaced_and_its_requests_run_elsewhere() {
     let fleet = Fleet::serving(1).await;
     let head = fleet.heads()[0].id().to_owned();
-    let dark = fleet.engines.iter().find(|engine| engine.id() == head).unwrap();
-    dark.set_fault(Fault::Dark);
+    let unreachable = fleet.engines.iter().find(|engine| engine.id() == head).unwrap();
+    unreachable.set_fault(Fault::Dark);
     for turn in 0..8 {
         let answer = fleet.ask(STREAM, &format!("r-{turn}")).await;
         assert_eq!((answer.status, answer.whole), (200, true), "{answer:?}");
@@ -128,12 +131,12 @@
 }
 
 #[tokio::test]
-async fn a_leaving_member_ends_its_group_and_gets_no_new_requests() {
+async fn a_draining_member_closes_its_group_and_receives_no_new_requests() {
     let fleet = Fleet::serving(1).await;
-    let leaving = fleet.heads()[0].id().to_owned();
-    let runner = fleet.engines.iter().find(|engine| engine.id() == leaving).unwrap();
+    let draining = fleet.heads()[0].id().to_owned();
+    let runner = fleet.engines.iter().find(|engine| engine.id() == draining).unwrap();
     runner.drain();
-    fleet.wait("its group is closed", |_| !runner.is_open()).await;
+    fleet.wait("the group of the runner is closed", |_| !runner.is_open()).await;
     let before = runner.seen().len();
     for turn in 0..10 {
         assert_eq!(fleet.ask(STREAM, &format!("r-{turn}")).await.status, 200);
@@ -143,12 +146,12 @@
 }
 
 #[tokio::test]
-async fn a_key_taken_away_is_refused_by_every_node() {
+async fn a_revoked_key_is_refused_by_every_node() {
     let fleet = Fleet::serving(2).await;
     assert_eq!(fleet.ask(READ, "r1").await.status, 200);
     fleet.store.configure(&config(2, &["key-2"]));
     fleet
-        .wait("version 2 is in force on both", |fleet| {
+        .wait("version 2 is in force on both nodes", |fleet| {
             let version = |running: &common::Running| {
                 running.node.catalog.lock().as_ref().map(|catalog| catalog.version)
             };
@@ -157,7 +160,7 @@
         .await;
     assert_eq!(fleet.ask(READ, "r2").await.status, 401);
     assert_eq!(fleet.ask_with(READ, "r3", "key-2").await.status, 200);
-    // An older configuration that turns up again changes nothing.
+    // An older configuration that reappears in the store is ignored.
     fleet.store.configure(&config(1, &[KEY]));
     fleet.store.configure(&config(3, &["key-3"]));
     fleet
@@ -169,10 +172,10 @@
 }
 
 #[tokio::test]
-async fn without_the_store_keys_are_honoured_for_a_while_and_no_longer() {
+async fn without_the_store_keys_are_accepted_for_a_limited_time() {
     let fleet = Fleet::serving(2).await;
     fleet.store.set_fault(store::Fault::Silent);
-    assert_eq!(fleet.ask(READ, "r1").await.status, 200, "a node goes on with what it knows");
+    assert_eq!(fleet.ask(READ, "r1").await.status, 200, "a node keeps serving from its cached configuration");
     fleet.wait("no node trusts its keys", |fleet| fleet.nodes.iter().all(|r| !r.node.trusts_keys())).await;
     let answer = fleet.ask(READ, "r2").await;
     assert_eq!(answer.status, 503, "{answer:?}");
@@ -184,17 +187,17 @@
 }
 
 #[tokio::test]
-async fn where_no_bound_is_strict_known_keys_are_honoured_all_through_an_outage() {
+async fn without_a_revocation_bound_known_keys_are_accepted_throughout_an_outage() {
     let fleet = Fleet::serving(1).await;
     let node = &fleet.nodes[0].node;
     fleet.store.set_fault(store::Fault::Silent);
     fleet.wait("the node does not trust its keys", |_| !node.trusts_keys()).await;
-    assert_eq!(fleet.ask(READ, "r1").await.status, 503, "the bound is strict here");
+    assert_eq!(fleet.ask(READ, "r1").await.status, 503, "the revocation bound is in force");
     let mut settings = Settings::clone(&node.settings());
     settings.bounds.revoke = None;
     node.set_settings(settings);
     assert_eq!(fleet.ask(READ, "r2").await.status, 200);
-    // A newer configuration, which this node cannot know of, may have the key or the route.
+    // A newer configuration that this node has not received may contain the key or the route.
     assert_eq!(fleet.ask_with(READ, "r3", "key-unknown").await.status, 503);
     assert_eq!(fleet.runs("r3"), 0);
     assert_eq!(fleet.ask("/nowhere/", "r4").await.status, 503);
@@ -202,7 +205,7 @@
 }
 
 #[tokio::test]
-async fn a_node_that_is_to_stop_says_so_and_finishes_what_it_takes() {
+async fn a_draining_node_is_not_ready_and_completes_the_requests_it_accepts() {
     let fleet = Fleet::serving(1).await;
     assert!(ask_ready(fleet.nodes[0].ready).await.unwrap());
     fleet.nodes[0].node.draining.send_replace(true);
@@ -210,7 +213,7 @@
     let answer = fleet.ask(STREAM, "r1").await;
     assert_eq!((answer.status, answer.whole), (200, true));
     assert_eq!(answer.header("connection"), Some("close"));
-    // Once the balancer must have noticed, nothing new is taken, on no connection.
+    // Once the load balancer must have noticed, the node accepts no new connections.
     fleet.nodes[0].node.closed.send_replace(true);
     fleet
         .wait("the port is closed", |fleet| std::net::TcpStream::connect(fleet.nodes[0].callers).is_err())
@@ -221,71 +224,74 @@
 async fn a_request_above_the_limit_is_refused_at_once_and_has_not_run() {
     let fleet = Fleet::serving(1).await;
     let node = &fleet.nodes[0].node;
-    let refused = async |request: &str| {
+    let assert_refused = async |request: &str| {
         let answer = fleet.ask(STREAM, request).await;
         assert_eq!(answer.status, 503, "{answer:?}");
         assert!(answer.header("retry-after").is_some());
         assert_eq!(fleet.runs(request), 0);
     };
-    // The limit of this node is reached, and each slot of both groups is taken twice.
-    let lane = ("engines".parse().unwrap(), Some("m1".parse().unwrap()));
-    let mut held = Vec::new();
-    while let Some(admitted) = node.admit(&lane, Millis(0), || None).await {
-        held.push(admitted);
+    // The limit of this node is reached, and each slot of both groups is in use twice.
+    let model_key = ("engines".parse().unwrap(), Some("m1".parse().unwrap()));
+    let mut admissions = Vec::new();
+    while let Some(admitted) = node.admit(&model_key, Millis(0), || None).await {
+        admissions.push(admitted);
     }
     let heads: Vec<_> = fleet.heads().iter().map(|head| head.id().parse().unwrap()).collect();
-    let taken: Vec<_> = heads.iter().flat_map(|head| (0..8).map(|_| node.begin_attempt(head))).collect();
-    refused("r0").await;
-    drop(taken);
+    let attempts: Vec<_> = heads.iter().flat_map(|head| (0..8).map(|_| node.begin_attempt(head))).collect();
+    assert_refused("r0").await;
+    drop(attempts);
     let answer = fleet.ask(STREAM, "r1").await;
-    assert_eq!(answer.status, 200, "the fleet has room, which goes before the limit of one node");
-    // Where nobody knows how busy the groups are, the limit counts.
+    assert_eq!(answer.status, 200, "free slots in the fleet take precedence over the limit of one node");
+    // The limit applies when the fleet load is unknown.
     for name in ["node-8", "node-9"] {
         let address = "127.0.0.1:9".parse().unwrap();
         let (name, hall) = (name.parse().unwrap(), "hall-a".parse().unwrap());
         node.directory.lock().insert(Peer { node: name, hall, address, processor: Millicores(1000) });
     }
-    fleet.wait("the view covers one node of three", |_| !node.fleet_load.lock().is_usable(node.now())).await;
-    refused("r2").await;
-    drop(held);
+    fleet
+        .wait("the fleet load covers one node of three", |_| !node.fleet_load.lock().is_usable(node.now()))
+        .await;
+    assert_refused("r2").await;
+    drop(admissions);
     assert_eq!(fleet.ask(STREAM, "r3").await.status, 200);
 }
 
 #[tokio::test]
-async fn a_runner_that_is_not_reached_costs_no_retry() {
+async fn a_failed_connection_to_a_runner_costs_no_retry() {
     let fleet = Fleet::serving(1).await;
     let node = &fleet.nodes[0].node;
     let head = fleet.heads()[0];
     let (id, nowhere) = (head.id().parse().unwrap(), "127.0.0.1:9".parse().unwrap());
     head.advertise(nowhere);
-    let moved = |fleet: &Fleet| {
+    let has_new_address = |fleet: &Fleet| {
         let roster = fleet.nodes[0].node.roster.lock();
         roster.get(&id).is_some_and(|runner| runner.address == nowhere)
     };
-    fleet.wait("the node knows the new address", moved).await;
+    fleet.wait("the node knows the new address", has_new_address).await;
     while node.retry_budget.lock().withdraw() {}
-    // One of the two meets it, for each goes to a head without a request of this node.
+    // One of the two requests is sent to this runner, because each is sent to a head that has no
+    // request of this node.
     let (one, other) = tokio::join!(fleet.ask(STREAM, "r1"), fleet.ask(STREAM, "r2"));
     assert_eq!((one.status, other.status), (200, 200));
-    assert!(!node.retry_budget.lock().withdraw(), "nothing was saved up meanwhile");
+    assert!(!node.retry_budget.lock().withdraw(), "no retry was added to the budget meanwhile");
 }
 
 #[tokio::test]
-async fn callers_that_wait_for_different_times_are_served_alike() {
+async fn callers_with_different_deadlines_are_served_with_the_same_priority() {
     let fleet = Fleet::serving(1).await;
     let (node, callers) = (&fleet.nodes[0].node, fleet.nodes[0].callers);
-    // Three of four slots are taken at each group.
+    // Three of four slots are in use at each group.
     let heads: Vec<_> = fleet.heads().iter().map(|head| head.id().parse().unwrap()).collect();
-    let taken: Vec<_> = heads.iter().flat_map(|head| (0..3).map(|_| node.begin_attempt(head))).collect();
+    let attempts: Vec<_> = heads.iter().flat_map(|head| (0..3).map(|_| node.begin_attempt(head))).collect();
     let waits = [WAIT_MS, WAIT_MS / 2, WAIT_MS - 2000, WAIT_MS / 3, WAIT_MS];
     for (number, wait) in waits.into_iter().enumerate() {
         let answer = ask_waiting(callers, STREAM, &format!("r{number}"), KEY, wait).await.unwrap();
-        assert_eq!(answer.status, 200, "a caller that waits for {wait} ms: {answer:?}");
+        assert_eq!(answer.status, 200, "a caller with a timeout of {wait} ms: {answer:?}");
     }
-    drop(taken);
-    let urgencies: HashSet<_> =
+    drop(attempts);
+    let priorities: HashSet<_> =
         fleet.engines.iter().flat_map(|engine| engine.seen()).map(|seen| seen.priority).collect();
-    assert_eq!(urgencies.len(), 1, "{urgencies:?}");
+    assert_eq!(priorities.len(), 1, "{priorities:?}");
 }
 
 #[tokio::test]
@@ -293,7 +299,7 @@
     let fleet = Fleet::bare(1).await;
     let node = &fleet.nodes[0].node;
     fleet.wait("the store is read", |_| node.is_synced()).await;
-    // A node that has read it does not wait for what is not there.
+    // A node that has read the store does not wait, even if an item is missing.
     node.wait_synced(Millis(3_600_000)).await;
     let fresh = Node::new(Settings::clone(&node.settings()));
     let waiting = {
@@ -304,28 +310,28 @@
     assert!(!waiting.is_finished());
     fresh.set_synced();
     waiting.await.unwrap();
-    // One that never gets there answers all the same.
+    // A node that cannot read the store stops waiting at the timeout.
     Node::new(Settings::clone(&node.settings())).wait_synced(Millis(20)).await;
 }
 
 #[test]
-fn callers_that_are_refused_together_come_back_one_after_the_other() {
-    let times: Vec<f64> = (0..200)
+fn callers_refused_together_get_retry_times_spread_over_a_second() {
+    let delays: Vec<f64> = (0..200)
         .map(|_| {
             let answer = Refusal::Full { running: 7, wait: None }.to_answer(Some("r"));
             answer.headers()["retry-after"].to_str().unwrap().parse().unwrap()
         })
         .collect();
-    assert!(times.iter().all(|time| (1.5..=2.5).contains(time)), "{times:?}");
-    let tenths: HashSet<u64> = times.iter().map(|time| (time * 10.0) as u64).collect();
-    assert!(tenths.len() >= 8, "they are spread over the whole second: {tenths:?}");
+    assert!(delays.iter().all(|delay| (1.5..=2.5).contains(delay)), "{delays:?}");
+    let tenths: HashSet<u64> = delays.iter().map(|delay| (delay * 10.0) as u64).collect();
+    assert!(tenths.len() >= 8, "the delays do not cover the second: {tenths:?}");
 }
 
 #[tokio::test]
-async fn a_collector_that_does_not_answer_is_done_without() {
+async fn requests_are_served_when_the_collector_does_not_answer() {
     let fleet = Fleet::serving(1).await;
     let node = &fleet.nodes[0].node;
-    // It would be asked first, for it has the most processor time.
+    // This peer is queried first, because it has the most processor time.
     let address = "127.0.0.1:9".parse().unwrap();
     let (name, hall) = ("node-9".parse().unwrap(), "hall-a".parse().unwrap());
     node.directory.lock().insert(Peer { node: name, hall, address, processor: Millicores(8000) });
@@ -336,12 +342,12 @@
 }
 
 #[tokio::test]
-async fn the_collector_of_a_hall_keeps_requests_of_all_its_nodes_off_full_groups() {
+async fn the_collector_of_a_hall_routes_requests_of_all_nodes_away_from_full_groups() {
     let fleet = Fleet::serving(3).await;
     let heads: Vec<id::Runner> = fleet.heads().iter().map(|head| head.id().parse().unwrap()).collect();
-    // One node has all slots of a group in use; the one that is asked has none.
-    let taken: Vec<_> = (0..4).map(|_| fleet.nodes[1].node.begin_attempt(&heads[0])).collect();
-    let knows = |fleet: &Fleet| {
+    // One node uses all slots of a group; the node that receives the requests uses none.
+    let attempts: Vec<_> = (0..4).map(|_| fleet.nodes[1].node.begin_attempt(&heads[0])).collect();
+    let has_reports = |fleet: &Fleet| {
         let first = &fleet.nodes[0].node;
         let hall = first.settings().hall.clone();
         let collector = first.directory.lock().list_collectors(&hall)[0].node.clone();
@@ -353,7 +359,7 @@
         let loads = node.reports.lock().sum_loads(&node.sum_in_flight(), node.now());
         node.reports.lock().count_nodes(node.now()) == 2 && loads.values().any(|load| load.running == 4)
     };
-    fleet.wait("the collector hears of both others, and of the full group", knows).await;
+    fleet.wait("the collector has reports of both other nodes and of the full group", has_reports).await;
     let other = fleet.engines.iter().find(|engine| engine.id() == heads[1].as_str()).unwrap();
     for number in 0..6 {
         let request = format!("r{number}");
@@ -361,5 +367,5 @@
         let ran = other.seen().iter().any(|seen| seen.run && seen.request == request);
         assert!(ran, "{request} went to the full group");
     }
-    drop(taken);
+    drop(attempts);
 }
