--- a/crates/node/tests/eras.rs
+++ b/crates/node/tests/eras.rs
@@ -1,7 +1,9 @@
-//! The store comes back from a copy some seconds old. What was written since is gone, leases too;
-//! revisions go back and are given out again. Nodes compared bare revisions, so that those that
-//! knew more passed over every node that had read the store again, took for removed what the copy
-//! lacked, and went on under a lease that was not theirs.
+//! Restores of the store from a copy that is some seconds old.
+//!
+//! Everything written since the copy is lost, including leases, and revisions go back and are
+//! assigned again. Nodes compared bare revisions. Nodes with a higher revision therefore ignored
+//! every node that had read the restored store, took what the copy lacked for removed, and kept
+//! acting under a lease that was no longer theirs.
 
 mod common;
 
@@ -16,73 +18,73 @@
 use cottoncrank_platform_standin::runner::{Place, Runner};
 use cottoncrank_platform_standin::store::{self, Closed, Door};
 
-/// Runners and operators write again within about this.
-const AGAIN: Millis = Millis(1000);
+/// The approximate time until runners and operators write their items again after a restore.
+const REWRITE_DELAY: Millis = Millis(1000);
 
-/// All know within this what an operator has put in force.
-const APPLY: Millis = Millis(4000);
+/// Bound on the time until all nodes apply a configuration that an operator has written.
+const APPLY_BOUND: Millis = Millis(4000);
 
-/// The places of the heads of open groups.
-fn list_places(fleet: &Fleet) -> HashSet<(String, u64)> {
+/// Lists the group and epoch of each open group.
+fn list_open_groups(fleet: &Fleet) -> HashSet<(String, u64)> {
     let places = fleet.heads().into_iter().filter_map(Runner::place);
     places.map(|Place { group, epoch, .. }| (group, epoch)).collect()
 }
 
-/// Runners write their entries again, as they do a while after the store has come back.
-async fn write_again(fleet: &Fleet) {
-    tokio::time::sleep(AGAIN.duration()).await;
+/// Makes the runners write their entries again, as they do some time after a restore.
+async fn rewrite_entries(fleet: &Fleet) {
+    tokio::time::sleep(REWRITE_DELAY.duration()).await;
     for runner in fleet.engines.iter().chain(&fleet.plain) {
         runner.enter();
     }
 }
 
-/// No epoch was given to two groups.
-fn assert_epochs_once(fleet: &Fleet) {
-    let mut known: HashMap<u64, Vec<String>> = HashMap::new();
+/// Asserts that no epoch was assigned to two groups.
+fn assert_unique_epochs(fleet: &Fleet) {
+    let mut members_by_epoch: HashMap<u64, Vec<String>> = HashMap::new();
     for join in fleet.engines.iter().flat_map(Runner::history).filter(|join| join.members.len() > 1) {
-        let members = known.entry(join.epoch).or_insert_with(|| join.members.clone());
+        let members = members_by_epoch.entry(join.epoch).or_insert_with(|| join.members.clone());
         assert_eq!(*members, join.members, "epoch {} of {}", join.epoch, join.group);
     }
 }
 
-/// Ends a group by the restart of a member, until two others are open.
-async fn replace_a_group(fleet: &Fleet) {
-    let before = list_places(fleet);
+/// Restarts a member of a group, and waits until a new group has replaced it.
+async fn replace_group(fleet: &Fleet) {
+    let before = list_open_groups(fleet);
     fleet.heads()[0].restart();
-    let is_new = |fleet: &Fleet| {
-        let places = list_places(fleet);
-        places.len() == 2 && places.difference(&before).count() == 1
+    let is_replaced = |fleet: &Fleet| {
+        let open_groups = list_open_groups(fleet);
+        open_groups.len() == 2 && open_groups.difference(&before).count() == 1
     };
-    fleet.wait("a group is formed anew", |fleet| is_new(fleet) && fleet.all_know(2)).await;
+    fleet.wait("a new group is open", |fleet| is_replaced(fleet) && fleet.all_know(2)).await;
 }
 
 #[tokio::test]
-async fn groups_that_serve_go_on_and_no_epoch_is_given_twice() {
+async fn serving_groups_survive_a_restore_and_no_epoch_is_assigned_twice() {
     let fleet = Fleet::serving(3).await;
     let copy = fleet.store.copy();
-    replace_a_group(&fleet).await;
-    let before = list_places(&fleet);
+    replace_group(&fleet).await;
+    let before = list_open_groups(&fleet);
     fleet.store.go_back(&copy);
-    write_again(&fleet).await;
+    rewrite_entries(&fleet).await;
     tokio::time::sleep(Millis(2500).duration()).await;
-    assert_eq!(list_places(&fleet), before, "groups that served are stopped");
-    // The next groups have epochs of their own.
-    replace_a_group(&fleet).await;
-    replace_a_group(&fleet).await;
-    assert_epochs_once(&fleet);
+    assert_eq!(list_open_groups(&fleet), before, "serving groups were stopped");
+    // The next groups must have new epochs.
+    replace_group(&fleet).await;
+    replace_group(&fleet).await;
+    assert_unique_epochs(&fleet);
 }
 
 #[tokio::test]
-async fn callers_are_served_while_the_store_comes_back_older() {
+async fn callers_are_served_during_a_restore() {
     let fleet = Fleet::serving(3).await;
     let copy = fleet.store.copy();
-    replace_a_group(&fleet).await;
+    replace_group(&fleet).await;
     fleet.store.go_back(&copy);
     let mut turns = tokio::time::interval(Millis(50).duration());
     for turn in 0..60 {
         turns.tick().await;
         if turn == 20 {
-            write_again(&fleet).await;
+            rewrite_entries(&fleet).await;
         }
         let node = fleet.nodes[turn % 3].callers;
         let answer = ask(node, STREAM, &format!("r-{turn}"), KEY).await.unwrap();
@@ -91,54 +93,54 @@
 }
 
 #[tokio::test]
-async fn a_runner_whose_entry_is_missing_is_waited_for() {
+async fn groups_are_kept_until_missing_runner_entries_are_rewritten() {
     let fleet = Fleet::bare(2).await;
     let copy = fleet.store.copy();
     fleet.store.configure(&config(1, &[KEY]));
     fleet.wait("all nodes know two open groups", |fleet| fleet.all_know(2)).await;
-    let before = list_places(&fleet);
-    // Nothing of this is in the copy: neither plans, nor what runners said of their groups.
+    let before = list_open_groups(&fleet);
+    // The copy contains neither the plans nor what the runners reported about their groups.
     fleet.store.go_back(&copy);
-    write_again(&fleet).await;
+    rewrite_entries(&fleet).await;
     fleet.store.configure(&config(1, &[KEY]));
     tokio::time::sleep(Millis(3000).duration()).await;
-    assert_eq!(list_places(&fleet), before, "groups that served are stopped");
+    assert_eq!(list_open_groups(&fleet), before, "serving groups were stopped");
     assert!(fleet.all_know(2));
-    assert_epochs_once(&fleet);
+    assert_unique_epochs(&fleet);
 }
 
 #[tokio::test]
-async fn a_configuration_never_goes_back_and_the_next_is_in_force_in_time() {
+async fn a_configuration_is_never_reverted_and_the_next_one_applies_within_the_bound() {
     let mut fleet = Fleet::serving(3).await;
     let copy = fleet.store.copy();
     fleet.store.configure(&config(2, &["key-2"]));
-    let knows = |fleet: &Fleet, version: u64| {
-        let version = move |node: &cottoncrank_node::state::Node| {
+    let has_version = |fleet: &Fleet, version: u64| {
+        let is_applied = move |node: &cottoncrank_node::state::Node| {
             node.catalog.lock().as_ref().is_some_and(|catalog| catalog.version >= version)
         };
-        fleet.nodes.iter().all(|running| version(&running.node))
+        fleet.nodes.iter().all(|running| is_applied(&running.node))
     };
-    fleet.wait("version 2 is in force", |fleet| knows(fleet, 2)).await;
+    fleet.wait("version 2 is in force", |fleet| has_version(fleet, 2)).await;
     fleet.store.go_back(&copy);
-    tokio::time::sleep(AGAIN.duration()).await;
+    tokio::time::sleep(REWRITE_DELAY.duration()).await;
     for running in &fleet.nodes {
         assert_eq!(ask(running.callers, READ, "r1", KEY).await.unwrap().status, 401, "the key was revoked");
     }
-    // One that starts in between learns from those that know.
+    // A node that starts now receives the newer configuration from the other nodes.
     fleet.add_node().await;
-    fleet.wait("it has read the store", |fleet| fleet.nodes[3].node.is_synced()).await;
+    fleet.wait("the new node has read the store", |fleet| fleet.nodes[3].node.is_synced()).await;
     let answer = ask(fleet.nodes[3].callers, READ, "r2", KEY).await.unwrap();
-    assert_ne!(answer.status, 200, "a key that was taken away is honoured again");
-    write_again(&fleet).await;
+    assert_ne!(answer.status, 200, "a revoked key is accepted again");
+    rewrite_entries(&fleet).await;
     fleet.store.configure(&config(2, &["key-2"]));
-    let end = fleet.nodes[0].node.now() + APPLY;
+    let deadline = fleet.nodes[0].node.now() + APPLY_BOUND;
     fleet.store.configure(&config(3, &["key-3"]));
-    fleet.wait("version 3 is in force", |fleet| knows(fleet, 3)).await;
-    assert!(fleet.nodes[0].node.now() <= end, "in force after the bound");
+    fleet.wait("version 3 is in force", |fleet| has_version(fleet, 3)).await;
+    assert!(fleet.nodes[0].node.now() <= deadline, "version 3 was applied after the bound");
 }
 
 #[tokio::test]
-async fn requests_that_end_runners_stay_refused() {
+async fn deadly_requests_stay_refused_after_a_restore() {
     let fleet = Fleet::serving(2).await;
     let copy = fleet.store.copy();
     let send = async |name: &str, turn: usize| {
@@ -154,108 +156,112 @@
         }
         tokio::time::sleep(Millis(100).duration()).await;
     }
-    let stored = |fleet: &Fleet| fleet.store.list("cottoncrank/suspects/").len();
-    fleet.wait("the store holds it", |fleet| stored(fleet) == 1).await;
+    let count_stored = |fleet: &Fleet| fleet.store.list("cottoncrank/suspects/").len();
+    fleet.wait("the store holds the suspect", |fleet| count_stored(fleet) == 1).await;
     fleet.store.go_back(&copy);
-    write_again(&fleet).await;
-    fleet.wait("the store holds it again", |fleet| stored(fleet) == 1).await;
+    rewrite_entries(&fleet).await;
+    fleet.wait("the store holds the suspect again", |fleet| count_stored(fleet) == 1).await;
     for turn in 0..4 {
         assert_eq!(send("e", turn).await.status, 400);
     }
 }
 
 #[tokio::test]
-async fn nodes_are_found_again_and_only_one_decides() {
+async fn nodes_rewrite_their_entries_after_a_restore_and_only_one_decides() {
     let fleet = Fleet::bare(3).await;
     let copy = fleet.store.copy();
     fleet.store.configure(&config(1, &[KEY]));
     fleet.wait("all nodes know two open groups", |fleet| fleet.all_know(2)).await;
     fleet.store.go_back(&copy);
-    write_again(&fleet).await;
+    rewrite_entries(&fleet).await;
     fleet.store.configure(&config(1, &[KEY]));
-    let entries = |fleet: &Fleet| fleet.store.list("cottoncrank/node/").len();
-    fleet.wait("all entries are there", |fleet| entries(fleet) == 3).await;
-    let deciding = |fleet: &Fleet| fleet.nodes.iter().filter(|running| running.node.is_deciding()).count();
+    let count_entries = |fleet: &Fleet| fleet.store.list("cottoncrank/node/").len();
+    fleet.wait("the store holds the entries of all nodes", |fleet| count_entries(fleet) == 3).await;
+    let count_deciders =
+        |fleet: &Fleet| fleet.nodes.iter().filter(|running| running.node.is_deciding()).count();
     for _ in 0..150 {
-        assert!(deciding(&fleet) <= 1, "two nodes decide");
+        assert!(count_deciders(&fleet) <= 1, "two nodes decide");
         tokio::time::sleep(Millis(20).duration()).await;
     }
-    assert_eq!(deciding(&fleet), 1, "nobody decides");
+    assert_eq!(count_deciders(&fleet), 1, "nobody decides");
 }
 
 #[tokio::test]
-async fn it_comes_back_older_twice_and_serves_on() {
+async fn callers_are_served_after_two_restores_in_a_row() {
     let fleet = Fleet::serving(3).await;
     let oldest = fleet.store.copy();
-    replace_a_group(&fleet).await;
+    replace_group(&fleet).await;
     let older = fleet.store.copy();
-    replace_a_group(&fleet).await;
+    replace_group(&fleet).await;
     fleet.store.go_back(&older);
     tokio::time::sleep(Millis(700).duration()).await;
     fleet.store.go_back(&oldest);
-    write_again(&fleet).await;
+    rewrite_entries(&fleet).await;
     for turn in 0..30 {
         let node = fleet.nodes[turn % 3].callers;
         let answer = ask(node, STREAM, &format!("r-{turn}"), KEY).await.unwrap();
         assert_eq!((answer.status, answer.whole), (200, true), "{turn}: {answer:?}");
     }
-    replace_a_group(&fleet).await;
-    assert_epochs_once(&fleet);
+    replace_group(&fleet).await;
+    assert_unique_epochs(&fleet);
 }
 
 #[tokio::test]
-async fn a_node_of_its_own_starts_in_the_new_era() {
+async fn a_node_that_starts_after_a_restore_serves_in_the_new_era() {
     let fleet = Fleet::serving(1).await;
     let copy = fleet.store.copy();
-    replace_a_group(&fleet).await;
+    replace_group(&fleet).await;
     fleet.store.go_back(&copy);
-    write_again(&fleet).await;
-    let later = start_node(fleet.store.address(), 7, "hall-a").await;
-    fleet.wait("it serves", |_| later.node.is_ready() && common::count_heads(&later.node) == 2).await;
-    let answer = ask(later.callers, STREAM, "r1", KEY).await.unwrap();
+    rewrite_entries(&fleet).await;
+    let new_node = start_node(fleet.store.address(), 7, "hall-a").await;
+    fleet
+        .wait("the new node serves", |_| new_node.node.is_ready() && common::count_heads(&new_node.node) == 2)
+        .await;
+    let answer = ask(new_node.callers, STREAM, "r1", KEY).await.unwrap();
     assert_eq!((answer.status, answer.whole), (200, true), "{answer:?}");
 }
 
 #[tokio::test]
-async fn what_the_copy_lacks_and_nobody_writes_again_is_forgotten() {
+async fn items_missing_from_the_copy_and_not_rewritten_are_dropped() {
     let fleet = Fleet::serving(3).await;
     let copy = fleet.store.copy();
     let lost = Runner::start(&fleet.store, "p-lost", PLAIN, "hall-a", None).unwrap();
     let id = lost.id().parse().unwrap();
-    let know = |fleet: &Fleet| fleet.nodes.iter().filter(|n| n.node.roster.lock().get(&id).is_some()).count();
-    fleet.wait("all know the runner", |fleet| know(fleet) == 3).await;
+    let count_knowing =
+        |fleet: &Fleet| fleet.nodes.iter().filter(|n| n.node.roster.lock().get(&id).is_some()).count();
+    fleet.wait("all nodes know the runner", |fleet| count_knowing(fleet) == 3).await;
     lost.crash();
     fleet.store.go_back(&copy);
-    // The counter has passed what nodes know before they ask again.
+    // The revision counter passes the nodes' revisions before their next poll.
     for number in 0..50 {
         fleet.store.put_bytes("op/other", format!("{number}").as_bytes());
     }
-    fleet.wait("nobody knows it any more", |fleet| know(fleet) == 0).await;
+    fleet.wait("no node knows the runner", |fleet| count_knowing(fleet) == 0).await;
 }
 
 #[tokio::test]
-async fn answers_and_leases_of_a_former_era_are_not_used() {
+async fn answers_and_leases_of_an_earlier_era_are_rejected() {
     let store = store::Store::start().unwrap();
     let client = Store::new(store.address());
     let lease = client.open_lease(Millis(5000)).await.unwrap();
     client.renew_lease(lease).await.unwrap();
     let read = client.read_all().await.unwrap();
     store.go_back(&store.copy());
-    // Its number is there in the copy too, and may be given to somebody else.
+    // The number of the lease exists in the copy too, and may be assigned to another client.
     let watched = client.watch(read.position, Millis(0)).await;
     assert!(matches!(watched, Err(StoreError::Restored(era)) if era > read.position.era()), "{watched:?}");
     assert!(matches!(client.renew_lease(lease).await, Err(StoreError::LeaseExpired)));
     let expect = vec![("a".to_owned(), Some(read.position))];
     let commit = client.commit(&Commit { expect, ..Commit::default() }).await;
     assert!(matches!(commit, Err(StoreError::Restored(_))), "{commit:?}");
-    // Others have seen a later era: this answer was under way for long.
+    // Another node has seen a later era, so this answer counts as delayed and outdated.
     client.raise_era(Era(9));
-    let former = client.read_all().await;
-    assert!(matches!(former, Err(StoreError::Era(EraError::Outdated { .. }))), "{former:?}");
+    let outdated = client.read_all().await;
+    assert!(matches!(outdated, Err(StoreError::Era(EraError::Outdated { .. }))), "{outdated:?}");
 }
 
 #[tokio::test]
-async fn a_node_that_starts_just_then_does_not_decide_before_those_that_know() {
+async fn a_node_that_starts_during_a_restore_does_not_decide_before_informed_nodes() {
     let mut fleet = Fleet::bare(0).await;
     let copy = fleet.store.copy();
     let doors = [Door::open(&fleet.store).unwrap(), Door::open(&fleet.store).unwrap()];
@@ -264,9 +270,9 @@
     }
     fleet.store.configure(&config(1, &[KEY]));
     fleet.wait("all nodes know two open groups", |fleet| fleet.all_know(2)).await;
-    let before = list_places(&fleet);
-    // The node that decides is lost as well, and the other one is turned away for a moment: the
-    // store has no plan, and nobody else can say so to a node that starts.
+    let before = list_open_groups(&fleet);
+    // The decider is lost as well, and the store rejects the other node for a moment. The store has
+    // no plan, and no other node can send it to the node that starts.
     let deciding = fleet.nodes.iter().position(|running| running.node.is_deciding()).unwrap();
     fleet.nodes.remove(deciding);
     let door = &doors[1 - deciding];
@@ -277,19 +283,19 @@
         runner.enter();
     }
     fleet.nodes.push(start_node(fleet.store.address(), 7, "hall-a").await);
-    let decides = |fleet: &Fleet| fleet.nodes.iter().any(|running| running.node.is_deciding());
-    let mut decided = 0;
-    for look in 0.. {
-        if look == 20 {
+    let has_decider = |fleet: &Fleet| fleet.nodes.iter().any(|running| running.node.is_deciding());
+    let mut polls_with_decider = 0;
+    for poll in 0.. {
+        if poll == 20 {
             door.set_closed(Closed::Not);
         }
-        assert_eq!(list_places(&fleet), before, "groups that served are stopped");
-        decided += usize::from(decides(&fleet));
-        if decided > 30 {
+        assert_eq!(list_open_groups(&fleet), before, "serving groups were stopped");
+        polls_with_decider += usize::from(has_decider(&fleet));
+        if polls_with_decider > 30 {
             break;
         }
-        assert!(look < 400, "nobody decides");
+        assert!(poll < 400, "nobody decides");
         tokio::time::sleep(Millis(50).duration()).await;
     }
-    assert_epochs_once(&fleet);
+    assert_unique_epochs(&fleet);
 }
