--- a/crates/node/tests/common/mod.rs
+++ b/crates/node/tests/common/mod.rs
@@ -10,10 +10,10 @@
 use cottoncrank_fleet::settings::{Bounds, Ceiling, Settings};
 use cottoncrank_node::start::{Listeners, start};
 use cottoncrank_node::state::Node;
-use cottoncrank_platform_standin::caller::{Answer, ask};
+use cottoncrank_platform_standin::caller::{Answer, send_request};
 use cottoncrank_platform_standin::operator::{ENGINES, PLAIN, config};
 use cottoncrank_platform_standin::runner::Runner;
-use cottoncrank_platform_standin::store::{Door, Store};
+use cottoncrank_platform_standin::store::{Endpoint, Store};
 use tokio::net::TcpListener;
 use tokio::task::JoinSet;
 
@@ -131,9 +131,9 @@
     }
 
     /// Nodes of one hall, each with its own way to the store, configured and serving.
-    pub async fn behind_doors(nodes: usize) -> (Fleet, Vec<Door>) {
+    pub async fn behind_doors(nodes: usize) -> (Fleet, Vec<Endpoint>) {
         let mut fleet = Fleet::bare(0).await;
-        let doors: Vec<Door> = (0..nodes).map(|_| Door::open(&fleet.store).unwrap()).collect();
+        let doors: Vec<Endpoint> = (0..nodes).map(|_| Endpoint::open(&fleet.store).unwrap()).collect();
         for (number, door) in doors.iter().enumerate() {
             fleet.nodes.push(start_node(door.address(), number, "hall-a").await);
         }
@@ -169,7 +169,7 @@
 
     /// Asks the first node with a key.
     pub async fn ask_with(&self, path: &str, request: &str, key: &str) -> Answer {
-        ask(self.nodes[0].callers, path, request, key).await.unwrap()
+        send_request(self.nodes[0].callers, path, request, key).await.unwrap()
     }
 
     /// The heads of open groups.
@@ -180,6 +180,6 @@
     /// How often a request was run, over all runners.
     pub fn runs(&self, request: &str) -> usize {
         let all = self.engines.iter().chain(&self.plain);
-        all.flat_map(Runner::seen).filter(|seen| seen.run && seen.request == request).count()
+        all.flat_map(Runner::requests).filter(|seen| seen.executed && seen.request == request).count()
     }
 }
--- a/crates/node/tests/deadly.rs
+++ b/crates/node/tests/deadly.rs
@@ -16,7 +16,7 @@
 use common::{Fleet, KEY, Running};
 use cottoncrank::Millis;
 use cottoncrank_fleet::evidence::Level;
-use cottoncrank_platform_standin::caller::{Answer, Question, WAIT_MS};
+use cottoncrank_platform_standin::caller::{Answer, CallerRequest, DEFAULT_DEADLINE_MS};
 use cottoncrank_platform_standin::operator::{PLAIN, READ, STREAM};
 use cottoncrank_platform_standin::store;
 use tokio::net::{TcpListener, TcpStream};
@@ -38,8 +38,9 @@
 const BODY: &str = "a deadly body";
 
 async fn ask(to: SocketAddr, path: &str, request: String, body: String) -> Answer {
-    let question = Question { path, request: &request, key: KEY, wait_ms: WAIT_MS, body: &body };
-    question.ask(to).await.unwrap()
+    let question =
+        CallerRequest { path, request: &request, key: KEY, deadline_ms: DEFAULT_DEADLINE_MS, body: &body };
+    question.send(to).await.unwrap()
 }
 
 /// Sends the deadly request to all nodes in turn, and beside it others of the same route.
@@ -60,7 +61,7 @@
 /// When runners began the deadly request, in order.
 fn list_runs(fleet: &Fleet) -> Vec<Instant> {
     let all = fleet.engines.iter().chain(&fleet.plain);
-    let runs = all.flat_map(|runner| runner.seen()).filter(|seen| seen.run && seen.deadly);
+    let runs = all.flat_map(|runner| runner.requests()).filter(|seen| seen.executed && seen.deadly);
     let mut runs: Vec<Instant> = runs.map(|seen| seen.at).collect();
     runs.sort();
     runs
@@ -76,7 +77,7 @@
     assert!(late <= MORE, "{} runs, {late} of them late, {crashes} runners ended", runs.len());
     let refused = others.iter().filter(|answer| (400..500).contains(&answer.status));
     assert_eq!(refused.count(), 0, "a request that ends no runner is not taken for one that does");
-    let served = others.iter().filter(|answer| answer.status == 200 && answer.whole).count();
+    let served = others.iter().filter(|answer| answer.status == 200 && answer.complete).count();
     assert!(served >= others.len() / 2, "{served} of {} others are served", others.len());
 }
 
@@ -112,7 +113,7 @@
         let again = ask(running.callers, STREAM, format!("again-{number}"), BODY.to_owned()).await;
         assert_eq!(again.status, 400, "{again:?}");
         let other = ask(running.callers, STREAM, format!("other-{number}"), "a usual body".to_owned()).await;
-        assert_eq!((other.status, other.whole), (200, true), "{other:?}");
+        assert_eq!((other.status, other.complete), (200, true), "{other:?}");
     }
     assert_eq!(list_runs(&fleet).len(), 3);
 }
@@ -174,7 +175,7 @@
 async fn requests_that_were_only_there_are_cleared_when_they_run_to_their_end() {
     let fleet = Fleet::serving(2).await;
     for engine in &fleet.engines {
-        engine.set_pace(Millis(60));
+        engine.set_event_interval(Millis(60));
     }
     let mut others = JoinSet::new();
     for number in 0..6 {
@@ -185,7 +186,7 @@
     fleet.wait("all run", ran).await;
     fleet.heads()[0].crash();
     for answer in others.join_all().await {
-        assert_eq!((answer.status, answer.whole), (200, true), "{answer:?}");
+        assert_eq!((answer.status, answer.complete), (200, true), "{answer:?}");
     }
     let all_cleared = |fleet: &Fleet| {
         let tables: Vec<_> = fleet.nodes.iter().map(|running| running.node.suspects.lock()).collect();
--- a/crates/node/tests/failed.rs
+++ b/crates/node/tests/failed.rs
@@ -8,13 +8,13 @@
 
 use common::{Fleet, KEY};
 use cottoncrank::Millis;
-use cottoncrank_platform_standin::caller::ask;
+use cottoncrank_platform_standin::caller::send_request;
 use cottoncrank_platform_standin::operator::{ONCE, READ};
 use cottoncrank_platform_standin::runner::Fault;
 
 /// How often a request came to each plain runner.
 fn count_runs(fleet: &Fleet, request: &str) -> Vec<usize> {
-    let seen = fleet.plain.iter().map(|runner| runner.seen());
+    let seen = fleet.plain.iter().map(|runner| runner.requests());
     seen.map(|seen| seen.iter().filter(|seen| seen.request == request).count()).collect()
 }
 
@@ -44,7 +44,7 @@
     let callers = fleet.nodes[0].callers;
     for turn in 0..1000 {
         let request = format!("r-{turn}");
-        let answer = ask(callers, READ, &request, KEY).await.unwrap();
+        let answer = send_request(callers, READ, &request, KEY).await.unwrap();
         if count_runs(&fleet, &request) == [1, 1] {
             assert_eq!(answer.status, 200, "{answer:?}");
             return;
--- a/crates/node/tests/fleet.rs
+++ b/crates/node/tests/fleet.rs
@@ -14,9 +14,9 @@
 use cottoncrank_net::client::{CallError, Client, Traffic};
 use cottoncrank_node::peer::{self, Ask, AskError};
 use cottoncrank_platform::order::{self, Reply};
-use cottoncrank_platform_standin::caller::ask;
+use cottoncrank_platform_standin::caller::send_request;
 use cottoncrank_platform_standin::operator::{STREAM, config};
-use cottoncrank_platform_standin::store::{self, Closed, Store};
+use cottoncrank_platform_standin::store::{self, Blocked, Store};
 
 #[tokio::test]
 async fn one_node_reads_the_store_and_the_others_learn_from_it() {
@@ -89,13 +89,13 @@
     };
     let mut version = 1;
     for door in &doors {
-        for closed in [Closed::Ranges, Closed::All] {
-            door.set_closed(closed);
+        for closed in [Blocked::Ranges, Blocked::All] {
+            door.set_blocked(closed);
             version += 1;
-            fleet.store.configure_and_forget(&config(version, &["key-1"]));
+            fleet.store.configure_and_compact(&config(version, &["key-1"]));
             fleet.wait("the change is in force on all", |fleet| knows(fleet, version)).await;
             assert!(fleet.nodes.iter().all(|running| running.node.knows_catalog()));
-            door.set_closed(Closed::Not);
+            door.set_blocked(Blocked::Nothing);
         }
     }
 }
@@ -105,7 +105,7 @@
 #[tokio::test]
 async fn an_answer_of_the_store_that_goes_silent_within_its_body_is_given_up() {
     let fleet = Fleet::serving(2).await;
-    fleet.store.set_fault(store::Fault::Halting);
+    fleet.store.set_fault(store::Fault::WatchesStalled);
     fleet.wait("no node trusts its keys", |fleet| fleet.nodes.iter().all(|r| !r.node.trusts_keys())).await;
     fleet.store.set_fault(store::Fault::None);
     fleet.wait("the keys are trusted again", |fleet| fleet.nodes.iter().all(|r| r.node.trusts_keys())).await;
@@ -204,9 +204,9 @@
 #[tokio::test]
 async fn no_order_is_given_for_a_plan_that_is_not_known_to_stand() {
     let fleet = Fleet::serving(1).await;
-    let joins = |fleet: &Fleet| fleet.engines.iter().map(|engine| engine.joins()).sum::<usize>();
+    let joins = |fleet: &Fleet| fleet.engines.iter().map(|engine| engine.count_joins()).sum::<usize>();
     let before = joins(&fleet);
-    fleet.store.set_fault(store::Fault::Deaf);
+    fleet.store.set_fault(store::Fault::WritesDropped);
     let lost = fleet.heads()[0].id().to_owned();
     fleet.engines.iter().find(|engine| engine.id() == lost).unwrap().drain();
     // Long enough for several tries of the write, each given up after 0.9 s.
@@ -223,14 +223,14 @@
     let fleet = Fleet::serving(1).await;
     let before = fleet.store.calls().ranges;
     fleet.store.configure(&config(2, &["key-2"]));
-    fleet.store.forget();
+    fleet.store.compact();
     fleet
         .wait("version 2 is in force", |fleet| {
             fleet.nodes[0].node.catalog.lock().as_ref().is_some_and(|catalog| catalog.version == 2)
         })
         .await;
     fleet.store.configure(&config(3, &["key-3"]));
-    fleet.store.forget();
+    fleet.store.compact();
     fleet.wait("it was read whole again", |fleet| fleet.store.calls().ranges > before).await;
     fleet.wait("and the groups still stand", |fleet| fleet.all_know(2)).await;
 }
@@ -326,7 +326,7 @@
         })
         .await;
     assert_eq!(fleet.store.calls().ranges - before, 1, "it reads which nodes there are, and nothing else");
-    assert_eq!(ask(fleet.nodes[3].callers, STREAM, "r1", "key-1").await.unwrap().status, 200);
+    assert_eq!(send_request(fleet.nodes[3].callers, STREAM, "r1", "key-1").await.unwrap().status, 200);
 }
 
 #[tokio::test]
--- a/crates/node/tests/foreign.rs
+++ b/crates/node/tests/foreign.rs
@@ -27,7 +27,8 @@
 async fn an_entry_that_cannot_be_read_names_no_runner_and_the_others_hold() {
     let fleet = Fleet::serving(3).await;
     let plain = fleet.plain[0].id().to_owned();
-    for (at, (kind, bytes)) in foreign::list_entries(&fleet.plain[0].entry()).into_iter().enumerate() {
+    for (at, (kind, bytes)) in foreign::list_invalid_entries(&fleet.plain[0].entry()).into_iter().enumerate()
+    {
         fleet.store.put_entry(&plain, &bytes);
         settle(&fleet, at).await;
         assert!(knows(&fleet, &plain).iter().all(|known| !known), "{kind}: the runner is still used");
@@ -35,7 +36,7 @@
         let request = format!("r{at}");
         assert_eq!(fleet.ask(READ, &request).await.status, 200, "{kind}");
         assert_eq!(fleet.runs(&request), 1, "{kind}");
-        fleet.plain[0].enter();
+        fleet.plain[0].write_entry();
         fleet.wait("it is back", |fleet| knows(fleet, &plain).iter().all(|known| *known)).await;
     }
 }
@@ -44,16 +45,16 @@
 async fn values_of_another_form_take_no_other_item_with_them() {
     let fleet = Fleet::serving(3).await;
     let plain = fleet.plain[0].id().to_owned();
-    for (at, shown) in foreign::list_values().into_iter().enumerate() {
-        fleet.store.show_entry(&plain, &shown);
-        fleet.store.show_entry("no id at all!", &shown);
+    for (at, shown) in foreign::list_invalid_values().into_iter().enumerate() {
+        fleet.store.put_raw_entry(&plain, &shown);
+        fleet.store.put_raw_entry("no id at all!", &shown);
         settle(&fleet, at).await;
         assert!(knows(&fleet, &plain).iter().all(|known| !known), "{shown}");
         // Whole reads meet them as well.
-        fleet.store.forget();
+        fleet.store.compact();
         settle(&fleet, 100 + at).await;
         assert_eq!(fleet.ask(READ, &format!("r{at}")).await.status, 200, "{shown}");
-        fleet.plain[0].enter();
+        fleet.plain[0].write_entry();
         fleet.wait("it is back", |fleet| knows(fleet, &plain).iter().all(|known| *known)).await;
     }
 }
@@ -61,7 +62,7 @@
 #[tokio::test]
 async fn keys_that_are_no_ones_are_not_taken_for_the_configuration() {
     let fleet = Fleet::serving(2).await;
-    for (at, key) in foreign::KEYS.into_iter().enumerate() {
+    for (at, key) in foreign::LOOKALIKE_KEYS.into_iter().enumerate() {
         fleet.store.put(key, &config(99, &["key-99"]));
         settle(&fleet, at).await;
         fleet.store.remove(key);
@@ -79,7 +80,7 @@
     let mut fleet = Fleet::serving(2).await;
     let plans = fleet.store.list("cottoncrank/plan/");
     assert_eq!(plans.len(), 1);
-    fleet.store.spoil(&plans[0], |bytes| bytes.truncate(bytes.len() / 2));
+    fleet.store.corrupt(&plans[0], |bytes| bytes.truncate(bytes.len() / 2));
     settle(&fleet, 0).await;
     assert_eq!(fleet.ask(STREAM, "r1").await.status, 200, "groups that were known go on");
     // The next decider decides for all that it can read.
@@ -90,18 +91,18 @@
         .collect();
     fleet.wait("a group of the other domain is open", |_| new.iter().any(Runner::is_open)).await;
     assert_eq!(fleet.store.list("cottoncrank/plan/").len(), 2);
-    let joins: usize = fleet.engines.iter().map(Runner::joins).sum();
+    let joins: usize = fleet.engines.iter().map(Runner::count_joins).sum();
     settle(&fleet, 1).await;
     assert_eq!(
         joins,
-        fleet.engines.iter().map(Runner::joins).sum::<usize>(),
+        fleet.engines.iter().map(Runner::count_joins).sum::<usize>(),
         "nothing is told in that domain"
     );
     // An operator removes it: the domain is decided again.
     fleet.store.remove(&plans[0]);
     fleet
         .wait("its groups are formed anew", |fleet| {
-            fleet.engines.iter().map(Runner::joins).sum::<usize>() >= joins + 4
+            fleet.engines.iter().map(Runner::count_joins).sum::<usize>() >= joins + 4
         })
         .await;
     fleet.wait("and serve", |fleet| fleet.all_know(3)).await;
@@ -130,7 +131,7 @@
 async fn a_lease_that_cannot_be_read_lets_nobody_decide_beside_its_holder() {
     let fleet = Fleet::serving(2).await;
     // It goes with the lease of the deciding node: that still decides.
-    fleet.store.spoil("cottoncrank/decider", |bytes| *bytes = vec![0xff, 0x00]);
+    fleet.store.corrupt("cottoncrank/decider", |bytes| *bytes = vec![0xff, 0x00]);
     settle(&fleet, 0).await;
     fleet
         .wait("one node decides", |fleet| fleet.nodes.iter().filter(|r| r.node.is_deciding()).count() == 1)
--- a/crates/node/tests/leaving.rs
+++ b/crates/node/tests/leaving.rs
@@ -13,7 +13,7 @@
 
 use common::{Fleet, KEY};
 use cottoncrank::Millis;
-use cottoncrank_platform_standin::caller::ask;
+use cottoncrank_platform_standin::caller::send_request;
 use cottoncrank_platform_standin::operator::{READ, STREAM, config};
 use cottoncrank_platform_standin::runner::Runner;
 use cottoncrank_platform_standin::store;
@@ -30,14 +30,14 @@
     for turn in 0..TIME.0 / PAUSE.0 {
         turns.tick().await;
         let answer = fleet.ask(path, &format!("r-{turn}")).await;
-        assert_eq!((answer.status, answer.whole), (200, true), "others have room: {answer:?}");
+        assert_eq!((answer.status, answer.complete), (200, true), "others have room: {answer:?}");
     }
 }
 
 /// How many requests reached a runner later than [`DRAIN`] after the first answer that told.
 fn count_late(runner: &Runner) -> usize {
     let told: Vec<Instant> =
-        runner.seen().into_iter().filter(|seen| seen.leaving).map(|seen| seen.at).collect();
+        runner.requests().into_iter().filter(|seen| seen.leaving).map(|seen| seen.at).collect();
     let first = told.first().copied().expect("the runner was asked while it was about to leave");
     told.into_iter().filter(|at| *at > first + DRAIN.duration()).count()
 }
@@ -46,30 +46,30 @@
 async fn a_head_that_says_it_leaves_gets_no_new_requests() {
     let fleet = Fleet::serving(1).await;
     let head = fleet.heads()[0];
-    head.announce();
+    head.announce_leaving();
     play(&fleet, STREAM).await;
-    assert_eq!(count_late(head), 0, "of {} requests", head.seen().len());
+    assert_eq!(count_late(head), 0, "of {} requests", head.requests().len());
 }
 
 #[tokio::test]
 async fn a_plain_runner_that_says_it_leaves_gets_none_while_the_store_is_away() {
     let fleet = Fleet::serving(1).await;
     fleet.store.set_fault(store::Fault::Silent);
-    fleet.plain[0].announce();
+    fleet.plain[0].announce_leaving();
     play(&fleet, READ).await;
-    assert_eq!(count_late(&fleet.plain[0]), 0, "of {} requests", fleet.plain[0].seen().len());
+    assert_eq!(count_late(&fleet.plain[0]), 0, "of {} requests", fleet.plain[0].requests().len());
 }
 
 #[tokio::test]
 async fn the_group_of_a_member_that_says_it_leaves_is_replaced_at_once() {
     let fleet = Fleet::serving(1).await;
     let head = fleet.heads()[0];
-    let place = head.place().unwrap();
-    head.announce();
+    let place = head.membership().unwrap();
+    head.announce_leaving();
     fleet
         .wait("its group is closed and another one open", |fleet| {
             let others = fleet.heads().iter().filter(|open| open.id() != head.id()).count();
-            head.place().as_ref() != Some(&place) && others == 2
+            head.membership().as_ref() != Some(&place) && others == 2
         })
         .await;
 }
@@ -85,10 +85,10 @@
     fleet.store.set_fault(store::Fault::Silent);
     let leaving = [fleet.heads()[0], &fleet.plain[0]];
     for runner in leaving {
-        runner.announce();
+        runner.announce_leaving();
     }
     // The first node alone has requests, until both have told it.
-    let told = |runner: &Runner| runner.seen().iter().any(|seen| seen.leaving);
+    let told = |runner: &Runner| runner.requests().iter().any(|seen| seen.leaving);
     let mut turn = 0;
     while !leaving.iter().all(|runner| told(runner)) {
         for path in [STREAM, READ] {
@@ -100,12 +100,12 @@
     for turn in 0..10 {
         for (number, running) in fleet.nodes.iter().enumerate() {
             for path in [STREAM, READ] {
-                ask(running.callers, path, &format!("other-{number}-{turn}"), KEY).await.unwrap();
+                send_request(running.callers, path, &format!("other-{number}-{turn}"), KEY).await.unwrap();
             }
         }
     }
     for runner in leaving {
-        let late = runner.seen().into_iter().filter(|seen| seen.request.starts_with("other")).count();
+        let late = runner.requests().into_iter().filter(|seen| seen.request.starts_with("other")).count();
         assert_eq!(late, 0, "{} has told the first node, and the others sent it more", runner.id());
     }
 }
--- a/crates/node/tests/limit.rs
+++ b/crates/node/tests/limit.rs
@@ -17,7 +17,7 @@
 
 use common::{Fleet, KEY};
 use cottoncrank::Millis;
-use cottoncrank_platform_standin::caller::{Answer, ask};
+use cottoncrank_platform_standin::caller::{Answer, send_request};
 use cottoncrank_platform_standin::operator::{READ, STREAM};
 use cottoncrank_platform_standin::runner::Runner;
 use tokio::task::JoinSet;
@@ -41,7 +41,7 @@
     for turn in 0..time.0 / PAUSE.0 {
         turns.tick().await;
         let callers = fleet.nodes[turn as usize % fleet.nodes.len()].callers;
-        asking.spawn(async move { ask(callers, path, &format!("r-{turn}"), KEY).await.unwrap() });
+        asking.spawn(async move { send_request(callers, path, &format!("r-{turn}"), KEY).await.unwrap() });
     }
     asking.join_all().await
 }
@@ -49,7 +49,7 @@
 /// The most requests that reached a runner in some window after its rate had to be kept.
 fn count_worst(runner: &Runner, since: Instant) -> usize {
     let times: Vec<Instant> =
-        runner.seen().into_iter().map(|seen| seen.at).filter(|at| *at >= since).collect();
+        runner.requests().into_iter().map(|seen| seen.at).filter(|at| *at >= since).collect();
     let Some(first) = times.first().copied() else { return 0 };
     let bound: Vec<Instant> = times.into_iter().filter(|at| *at >= first + BINDS).collect();
     let in_window =
@@ -63,7 +63,7 @@
 }
 
 fn count_served(answers: &[Answer]) -> usize {
-    answers.iter().filter(|answer| answer.status == 200 && answer.whole).count()
+    answers.iter().filter(|answer| answer.status == 200 && answer.complete).count()
 }
 
 async fn assert_kept(halls: &[&str], path: &'static str, rate: f64) {
@@ -76,7 +76,7 @@
     let answers = play(&fleet, path, PLAY).await;
     let (worst, allowed) = (count_worst(runner, since), count_allowed(rate));
     assert!(worst <= allowed, "{} named {rate} a second and got {worst} in {WINDOW:?}", runner.id());
-    let bound = runner.seen().into_iter().filter(|seen| seen.at >= since + BINDS).count() as f64;
+    let bound = runner.requests().into_iter().filter(|seen| seen.at >= since + BINDS).count() as f64;
     let used = bound / (rate * (PLAY.duration() - BINDS).as_secs_f64());
     assert!(used >= 0.6, "of {rate} a second {used:.2} was used while there was work for more");
     assert_eq!(count_served(&answers), answers.len(), "the other one has room for all");
--- a/crates/node/tests/lives.rs
+++ b/crates/node/tests/lives.rs
@@ -23,8 +23,8 @@
     for from_end in [false, true] {
         let fleet = Fleet::serving(2).await;
         let head = fleet.heads()[0];
-        let place = head.place().unwrap();
-        let members = head.history().last().unwrap().members.clone();
+        let place = head.membership().unwrap();
+        let members = head.joins().last().unwrap().members.clone();
         let member = if from_end { members.last() } else { members.first() }.unwrap();
         let restarted = fleet.engines.iter().find(|engine| engine.id() == member).unwrap();
         restarted.restart();
@@ -32,7 +32,7 @@
         fleet.wait("two groups serve", |fleet| fleet.all_know(2) && fleet.heads().len() == 2).await;
         for request in 0..8 {
             let answer = fleet.ask(STREAM, &format!("r{request}")).await;
-            assert_eq!((answer.status, answer.whole), (200, true), "{member}");
+            assert_eq!((answer.status, answer.complete), (200, true), "{member}");
         }
     }
 }
@@ -41,13 +41,13 @@
 async fn a_new_life_is_known_by_its_report_before_its_entry_tells() {
     let fleet = Fleet::serving(1).await;
     let head = fleet.heads()[0];
-    let place = head.place().unwrap();
+    let place = head.membership().unwrap();
     let before = life(&fleet, head);
     head.crash();
-    head.revive();
+    head.relaunch();
     fleet.wait("the new life is known", |fleet| life(fleet, head) > before).await;
     fleet.wait("its group is over", |fleet| !is_planned(fleet, place.epoch)).await;
-    head.enter();
+    head.write_entry();
     fleet.wait("two groups serve", |fleet| fleet.all_know(2) && fleet.heads().len() == 2).await;
     assert_eq!(fleet.ask(STREAM, "r1").await.status, 200);
 }
@@ -56,7 +56,7 @@
 async fn a_request_that_ran_in_a_former_life_is_not_sent_again_under_the_same_id() {
     let fleet = Fleet::serving(2).await;
     for runner in &fleet.plain {
-        runner.set_fault(runner::Fault::Mute);
+        runner.set_fault(runner::Fault::NoAnswer);
     }
     let restart = async {
         fleet.wait("it runs", |fleet| fleet.runs("r1") == 1).await;
@@ -77,14 +77,14 @@
 async fn a_stream_under_way_when_its_head_starts_again_goes_on_elsewhere() {
     let fleet = Fleet::serving(1).await;
     for engine in &fleet.engines {
-        engine.set_pace(cottoncrank::Millis(100));
+        engine.set_event_interval(cottoncrank::Millis(100));
     }
     let restart = async {
         fleet.wait("it runs", |fleet| fleet.runs("r1") == 1).await;
-        let ran = |head: &&Runner| head.seen().iter().any(|seen| seen.request == "r1");
+        let ran = |head: &&Runner| head.requests().iter().any(|seen| seen.request == "r1");
         let heads = fleet.heads();
         heads.into_iter().find(ran).unwrap().restart();
     };
     let (answer, ()) = tokio::join!(fleet.ask(STREAM, "r1"), restart);
-    assert_eq!((answer.status, answer.whole), (200, true), "{answer:?}");
+    assert_eq!((answer.status, answer.complete), (200, true), "{answer:?}");
 }
--- a/crates/node/tests/requests.rs
+++ b/crates/node/tests/requests.rs
@@ -10,25 +10,25 @@
 use cottoncrank_fleet::settings::Settings;
 use cottoncrank_node::answer::Refusal;
 use cottoncrank_node::state::Node;
-use cottoncrank_platform_standin::caller::{WAIT_MS, ask_ready, ask_waiting};
+use cottoncrank_platform_standin::caller::{DEFAULT_DEADLINE_MS, is_ready, send_request_within};
 use cottoncrank_platform_standin::operator::{ONCE, READ, STREAM, config};
-use cottoncrank_platform_standin::runner::{EVENTS, Fault};
+use cottoncrank_platform_standin::runner::{EVENTS_PER_STREAM, Fault};
 use cottoncrank_platform_standin::store;
 
 fn all_events() -> Vec<u64> {
-    (0..EVENTS).collect()
+    (0..EVENTS_PER_STREAM).collect()
 }
 
 #[tokio::test]
 async fn a_stream_passes_whole_and_the_runner_learns_the_account_only() {
     let fleet = Fleet::serving(1).await;
     let answer = fleet.ask(STREAM, "r1").await;
-    assert_eq!((answer.status, answer.whole), (200, true), "{answer:?}");
+    assert_eq!((answer.status, answer.complete), (200, true), "{answer:?}");
     assert!(answer.is_signed("r1"), "{answer:?}");
     assert_eq!(answer.events(), all_events());
-    let seen: Vec<_> = fleet.engines.iter().flat_map(|engine| engine.seen()).collect();
+    let seen: Vec<_> = fleet.engines.iter().flat_map(|engine| engine.requests()).collect();
     assert_eq!(seen.len(), 1);
-    assert_eq!((seen[0].account.as_deref(), seen[0].key), (Some("acme"), false));
+    assert_eq!((seen[0].account.as_deref(), seen[0].has_key), (Some("acme"), false));
 }
 
 #[tokio::test]
@@ -37,7 +37,7 @@
     let answer = fleet.ask(STREAM, "r1").await;
     assert_eq!(answer.status, 503, "{answer:?}");
     assert!(answer.header("retry-after").is_some());
-    assert!(!ask_ready(fleet.nodes[0].ready).await.unwrap());
+    assert!(!is_ready(fleet.nodes[0].ready).await.unwrap());
 }
 
 #[tokio::test]
@@ -51,7 +51,7 @@
 #[tokio::test]
 async fn a_broken_stream_goes_on_at_another_group_after_its_last_whole_event() {
     let fleet = Fleet::serving(1).await;
-    for at in 0..EVENTS {
+    for at in 0..EVENTS_PER_STREAM {
         for (number, head) in fleet.heads().into_iter().enumerate() {
             head.set_fault(if number == 0 { Fault::Broken(at) } else { Fault::None });
         }
@@ -59,7 +59,7 @@
         for turn in 0..40 {
             let request = format!("r-{at}-{turn}");
             let answer = fleet.ask(STREAM, &request).await;
-            assert_eq!((answer.status, answer.whole), (200, true), "{answer:?}");
+            assert_eq!((answer.status, answer.complete), (200, true), "{answer:?}");
             assert_eq!(answer.events(), all_events(), "broken within event {at}");
             if fleet.runs(&request) == 2 {
                 break;
@@ -92,7 +92,7 @@
         for turn in 0..6 {
             let request = format!("r-{fault:?}-{turn}");
             let answer = fleet.ask(READ, &request).await;
-            assert_eq!((answer.status, answer.whole), (200, true), "{fault:?}: {answer:?}");
+            assert_eq!((answer.status, answer.complete), (200, true), "{fault:?}: {answer:?}");
             assert_eq!(answer.body, format!("done {request}"));
         }
     }
@@ -115,10 +115,10 @@
     let fleet = Fleet::serving(1).await;
     let head = fleet.heads()[0].id().to_owned();
     let dark = fleet.engines.iter().find(|engine| engine.id() == head).unwrap();
-    dark.set_fault(Fault::Dark);
+    dark.set_fault(Fault::Unresponsive);
     for turn in 0..8 {
         let answer = fleet.ask(STREAM, &format!("r-{turn}")).await;
-        assert_eq!((answer.status, answer.whole), (200, true), "{answer:?}");
+        assert_eq!((answer.status, answer.complete), (200, true), "{answer:?}");
     }
     fleet
         .wait("two other groups are open", |fleet| {
@@ -134,11 +134,11 @@
     let runner = fleet.engines.iter().find(|engine| engine.id() == leaving).unwrap();
     runner.drain();
     fleet.wait("its group is closed", |_| !runner.is_open()).await;
-    let before = runner.seen().len();
+    let before = runner.requests().len();
     for turn in 0..10 {
         assert_eq!(fleet.ask(STREAM, &format!("r-{turn}")).await.status, 200);
     }
-    assert_eq!(runner.seen().len(), before);
+    assert_eq!(runner.requests().len(), before);
     fleet.wait("another group is open", |fleet| fleet.all_know(2)).await;
 }
 
@@ -177,7 +177,7 @@
     let answer = fleet.ask(READ, "r2").await;
     assert_eq!(answer.status, 503, "{answer:?}");
     assert_eq!(fleet.runs("r2"), 0);
-    assert!(!ask_ready(fleet.nodes[0].ready).await.unwrap());
+    assert!(!is_ready(fleet.nodes[0].ready).await.unwrap());
     fleet.store.set_fault(store::Fault::None);
     fleet.wait("the keys are trusted again", |fleet| fleet.nodes.iter().all(|r| r.node.trusts_keys())).await;
     assert_eq!(fleet.ask(READ, "r3").await.status, 200);
@@ -198,17 +198,17 @@
     assert_eq!(fleet.ask_with(READ, "r3", "key-unknown").await.status, 503);
     assert_eq!(fleet.runs("r3"), 0);
     assert_eq!(fleet.ask("/nowhere/", "r4").await.status, 503);
-    assert!(ask_ready(fleet.nodes[0].ready).await.unwrap());
+    assert!(is_ready(fleet.nodes[0].ready).await.unwrap());
 }
 
 #[tokio::test]
 async fn a_node_that_is_to_stop_says_so_and_finishes_what_it_takes() {
     let fleet = Fleet::serving(1).await;
-    assert!(ask_ready(fleet.nodes[0].ready).await.unwrap());
+    assert!(is_ready(fleet.nodes[0].ready).await.unwrap());
     fleet.nodes[0].node.draining.send_replace(true);
-    assert!(!ask_ready(fleet.nodes[0].ready).await.unwrap());
+    assert!(!is_ready(fleet.nodes[0].ready).await.unwrap());
     let answer = fleet.ask(STREAM, "r1").await;
-    assert_eq!((answer.status, answer.whole), (200, true));
+    assert_eq!((answer.status, answer.complete), (200, true));
     assert_eq!(answer.header("connection"), Some("close"));
     // Once the balancer must have noticed, nothing new is taken, on no connection.
     fleet.nodes[0].node.closed.send_replace(true);
@@ -277,14 +277,20 @@
     // Three of four slots are taken at each group.
     let heads: Vec<_> = fleet.heads().iter().map(|head| head.id().parse().unwrap()).collect();
     let taken: Vec<_> = heads.iter().flat_map(|head| (0..3).map(|_| node.begin_attempt(head))).collect();
-    let waits = [WAIT_MS, WAIT_MS / 2, WAIT_MS - 2000, WAIT_MS / 3, WAIT_MS];
+    let waits = [
+        DEFAULT_DEADLINE_MS,
+        DEFAULT_DEADLINE_MS / 2,
+        DEFAULT_DEADLINE_MS - 2000,
+        DEFAULT_DEADLINE_MS / 3,
+        DEFAULT_DEADLINE_MS,
+    ];
     for (number, wait) in waits.into_iter().enumerate() {
-        let answer = ask_waiting(callers, STREAM, &format!("r{number}"), KEY, wait).await.unwrap();
+        let answer = send_request_within(callers, STREAM, &format!("r{number}"), KEY, wait).await.unwrap();
         assert_eq!(answer.status, 200, "a caller that waits for {wait} ms: {answer:?}");
     }
     drop(taken);
     let urgencies: HashSet<_> =
-        fleet.engines.iter().flat_map(|engine| engine.seen()).map(|seen| seen.priority).collect();
+        fleet.engines.iter().flat_map(|engine| engine.requests()).map(|seen| seen.priority).collect();
     assert_eq!(urgencies.len(), 1, "{urgencies:?}");
 }
 
@@ -358,7 +364,7 @@
     for number in 0..6 {
         let request = format!("r{number}");
         assert_eq!(fleet.ask(STREAM, &request).await.status, 200);
-        let ran = other.seen().iter().any(|seen| seen.run && seen.request == request);
+        let ran = other.requests().iter().any(|seen| seen.executed && seen.request == request);
         assert!(ran, "{request} went to the full group");
     }
     drop(taken);
--- a/crates/node/tests/rest.rs
+++ b/crates/node/tests/rest.rs
@@ -18,7 +18,7 @@
 
 use common::{Fleet, KEY};
 use cottoncrank::Millis;
-use cottoncrank_platform_standin::caller::{Answer, ask, ask_waiting};
+use cottoncrank_platform_standin::caller::{Answer, send_request, send_request_within};
 use cottoncrank_platform_standin::operator::{READ, STREAM};
 use cottoncrank_platform_standin::runner::{Fault, Runner};
 use tokio::task::JoinSet;
@@ -44,7 +44,9 @@
         turns.tick().await;
         let number = turn as usize % fleet.nodes.len();
         let callers = fleet.nodes[number].callers;
-        asking.spawn(async move { ask(callers, path, &format!("{number}-{turn}"), KEY).await.unwrap() });
+        asking.spawn(
+            async move { send_request(callers, path, &format!("{number}-{turn}"), KEY).await.unwrap() },
+        );
     }
     asking.join_all().await
 }
@@ -52,7 +54,7 @@
 /// When requests of a node reached a runner.
 fn list_times(runner: &Runner, node: usize) -> Vec<Instant> {
     let prefix = format!("{node}-");
-    let seen = runner.seen().into_iter().filter(|seen| seen.request.starts_with(&prefix));
+    let seen = runner.requests().into_iter().filter(|seen| seen.request.starts_with(&prefix));
     seen.map(|seen| seen.at).collect()
 }
 
@@ -72,7 +74,7 @@
 }
 
 fn count_served(answers: &[Answer]) -> usize {
-    answers.iter().filter(|answer| answer.status == 200 && answer.whole).count()
+    answers.iter().filter(|answer| answer.status == 200 && answer.complete).count()
 }
 
 #[tokio::test]
@@ -115,7 +117,7 @@
         let left = REST.duration().saturating_sub(since.elapsed()).as_secs_f64();
         assert!(back >= left, "told to come back after {back} s, and {left} s of rest are left");
         // Whose time ends before that need not come again.
-        let short = ask_waiting(fleet.nodes[0].callers, path, "0-third", KEY, 1000).await.unwrap();
+        let short = send_request_within(fleet.nodes[0].callers, path, "0-third", KEY, 1000).await.unwrap();
         assert_eq!((short.status, short.header("retry-after")), (503, None), "{short:?}");
     }
     play(&fleet, STREAM, REST).await;
--- a/crates/node/tests/suspended.rs
+++ b/crates/node/tests/suspended.rs
@@ -15,7 +15,7 @@
 use common::{Fleet, KEY, count_heads, start_node};
 use cottoncrank::Millis;
 use cottoncrank_node::state::Node;
-use cottoncrank_platform_standin::caller::{Answer, ask, ask_waiting};
+use cottoncrank_platform_standin::caller::{Answer, send_request, send_request_within};
 use cottoncrank_platform_standin::operator::{ONCE, READ, STREAM, config};
 use cottoncrank_platform_standin::runner::Fault;
 use tokio::sync::mpsc::{UnboundedSender, unbounded_channel};
@@ -100,21 +100,21 @@
 }
 
 fn assert_served(answer: &Answer) {
-    assert_eq!((answer.status, answer.whole), (200, true), "{answer:?}");
+    assert_eq!((answer.status, answer.complete), (200, true), "{answer:?}");
 }
 
 #[tokio::test]
 async fn a_request_whose_time_is_over_when_the_box_wakes_is_answered_at_once() {
     let (fleet, boxes) = serving(1).await;
     for runner in &fleet.plain {
-        runner.set_fault(Fault::Mute);
+        runner.set_fault(Fault::NoAnswer);
     }
     let begun = Instant::now();
     let sleep = async {
         fleet.wait("it runs", |fleet| fleet.runs("r1") == 1).await;
         boxes[0].suspend(3.0);
     };
-    let (answer, ()) = tokio::join!(ask_waiting(boxes[0].callers, ONCE, "r1", KEY, 2500), sleep);
+    let (answer, ()) = tokio::join!(send_request_within(boxes[0].callers, ONCE, "r1", KEY, 2500), sleep);
     let answer = answer.unwrap();
     assert_eq!(answer.status, 504, "{answer:?}");
     let took = begun.elapsed();
@@ -125,18 +125,18 @@
 async fn a_request_whose_time_is_over_is_not_sent_to_another_runner() {
     let (fleet, boxes) = serving(1).await;
     for runner in &fleet.plain {
-        runner.set_fault(Fault::Mute);
+        runner.set_fault(Fault::NoAnswer);
     }
     let sleep = async {
         fleet.wait("it runs", |fleet| fleet.runs("r1") == 1).await;
         boxes[0].suspend(2.0);
         pause(0.5).await;
         // The runner ends meanwhile: the node finds its try broken off when it wakes.
-        for runner in fleet.plain.iter().filter(|runner| !runner.seen().is_empty()) {
+        for runner in fleet.plain.iter().filter(|runner| !runner.requests().is_empty()) {
             runner.crash();
         }
     };
-    let (answer, ()) = tokio::join!(ask_waiting(boxes[0].callers, READ, "r1", KEY, 1500), sleep);
+    let (answer, ()) = tokio::join!(send_request_within(boxes[0].callers, READ, "r1", KEY, 1500), sleep);
     assert_eq!(answer.unwrap().status, 504);
     pause(0.3).await;
     assert_eq!(fleet.runs("r1"), 1);
@@ -145,17 +145,17 @@
 #[tokio::test]
 async fn a_key_that_was_taken_away_during_a_sleep_opens_nothing_after_it() {
     let (fleet, boxes) = serving(1).await;
-    assert_served(&ask(boxes[0].callers, READ, "r0", KEY).await.unwrap());
+    assert_served(&send_request(boxes[0].callers, READ, "r0", KEY).await.unwrap());
     boxes[0].suspend(6.5);
     pause(0.3).await;
     fleet.store.configure(&config(2, &["key-2"]));
     // More than the bound on taken keys later; the node finds the request when it wakes.
     pause(5.7).await;
-    let answer = ask(boxes[0].callers, READ, "r1", KEY).await.unwrap();
+    let answer = send_request(boxes[0].callers, READ, "r1", KEY).await.unwrap();
     assert!([401, 503].contains(&answer.status), "{answer:?}");
     assert_eq!(fleet.runs("r1"), 0);
     fleet.wait("it knows the new key", |_| boxes[0].node.is_ready()).await;
-    assert_served(&ask(boxes[0].callers, READ, "r2", "key-2").await.unwrap());
+    assert_served(&send_request(boxes[0].callers, READ, "r2", "key-2").await.unwrap());
 }
 
 #[tokio::test]
@@ -166,8 +166,8 @@
     fleet.store.configure(&config(2, &[KEY, "key-2"]));
     pause(4.5).await;
     let (key, route) = tokio::join!(
-        ask(boxes[0].callers, READ, "r1", "key-2"),
-        ask(boxes[0].callers, "/not-known-yet/", "r2", KEY)
+        send_request(boxes[0].callers, READ, "r1", "key-2"),
+        send_request(boxes[0].callers, "/not-known-yet/", "r2", KEY)
     );
     for answer in [key.unwrap(), route.unwrap()] {
         assert!(answer.status == 503 || answer.status == 200, "{answer:?}");
@@ -197,7 +197,7 @@
     fleet.wait("two groups serve", |fleet| fleet.all_know(2) && fleet.heads().len() == 2).await;
     // A runner that stands by is told to load again by each node that begins to decide.
     let joins = |fleet: &Fleet| -> Vec<(String, u64)> {
-        let all = fleet.engines.iter().flat_map(|engine| engine.history());
+        let all = fleet.engines.iter().flat_map(|engine| engine.joins());
         let all = all.filter(|join| join.members.len() > 1);
         all.map(|join| (join.group, join.epoch)).collect()
     };
@@ -210,7 +210,7 @@
 async fn a_stream_goes_on_where_the_box_wakes_in_its_middle() {
     let (fleet, boxes) = serving(1).await;
     for engine in &fleet.engines {
-        engine.set_pace(Millis(150));
+        engine.set_event_interval(Millis(150));
     }
     for seconds in [0.3, 2.0] {
         let request = format!("r-{seconds}");
@@ -219,7 +219,7 @@
             pause(0.2).await;
             boxes[0].suspend(seconds);
         };
-        let (answer, ()) = tokio::join!(ask(boxes[0].callers, STREAM, &request, KEY), sleep);
+        let (answer, ()) = tokio::join!(send_request(boxes[0].callers, STREAM, &request, KEY), sleep);
         assert_served(&answer.unwrap());
         assert_eq!(fleet.runs(&request), 1, "it did not run a second time");
     }
@@ -234,14 +234,14 @@
         let awake = boxes[(turn + 2) % 3].callers;
         for number in 0..3 {
             let begun = Instant::now();
-            assert_served(&ask(awake, STREAM, &format!("s-{turn}-{number}"), KEY).await.unwrap());
-            assert_served(&ask(awake, READ, &format!("p-{turn}-{number}"), KEY).await.unwrap());
+            assert_served(&send_request(awake, STREAM, &format!("s-{turn}-{number}"), KEY).await.unwrap());
+            assert_served(&send_request(awake, READ, &format!("p-{turn}-{number}"), KEY).await.unwrap());
             assert!(begun.elapsed() < Duration::from_secs(1), "{:?}", begun.elapsed());
         }
         pause(0.3).await;
     }
     for (number, sleeper) in boxes.iter().enumerate() {
-        assert_served(&ask(sleeper.callers, STREAM, &format!("end-{number}"), KEY).await.unwrap());
+        assert_served(&send_request(sleeper.callers, STREAM, &format!("end-{number}"), KEY).await.unwrap());
     }
     assert_served(&fleet.ask(STREAM, "end").await);
 }
--- a/crates/soak/src/check.rs
+++ b/crates/soak/src/check.rs
@@ -3,7 +3,7 @@
 use std::collections::{HashMap, HashSet};
 use std::time::{Duration, Instant};
 
-use cottoncrank_platform_standin::runner::{EVENTS, Join, Seen};
+use cottoncrank_platform_standin::runner::{EVENTS_PER_STREAM, Join, ReceivedRequest};
 use thiserror::Error;
 
 use crate::fleet::REVOKE_MS;
@@ -92,7 +92,7 @@
     /// Its id.
     pub id: String,
     /// The requests it got.
-    pub seen: Vec<Seen>,
+    pub seen: Vec<ReceivedRequest>,
     /// The groups it joined.
     pub joins: Vec<Join>,
     /// When it said that it leaves.
@@ -148,15 +148,15 @@
 /// that node's process did not run, or the way there was harmed.
 fn check_backoff(witness: &Witness, record: &Record) -> Vec<Breach> {
     let nodes: HashMap<&str, usize> = record.calls.iter().map(|call| (call.id.as_str(), call.node)).collect();
-    let seen: Vec<(&Seen, usize)> =
+    let seen: Vec<(&ReceivedRequest, usize)> =
         witness.seen.iter().filter_map(|seen| Some((seen, *nodes.get(seen.request.as_str())?))).collect();
     let mut breaches = Vec::new();
     for (told, node) in &seen {
         let Some(span) = told.backoff else { continue };
         let binds = told.at + UNDER_WAY..told.at + span.duration();
-        let came = seen
-            .iter()
-            .filter(|(other, from)| from == node && other.life == told.life && binds.contains(&other.at));
+        let came = seen.iter().filter(|(other, from)| {
+            from == node && other.incarnation == told.incarnation && binds.contains(&other.at)
+        });
         let came = came.count();
         let excused = record
             .troubles
@@ -182,7 +182,7 @@
 fn count_runs(record: &Record) -> HashMap<&str, usize> {
     let mut runs = HashMap::new();
     let seen = record.witnesses.iter().flat_map(|witness| &witness.seen);
-    for seen in seen.filter(|seen| seen.run) {
+    for seen in seen.filter(|seen| seen.executed) {
         *runs.entry(seen.request.as_str()).or_default() += 1;
     }
     runs
@@ -198,14 +198,14 @@
         return mixed("it is not signed for it");
     }
     if call.kind != Kind::Stream {
-        return match !answer.whole || answer.body == format!("done {}", call.id) {
+        return match !answer.complete || answer.body == format!("done {}", call.id) {
             true => None,
             false => mixed(&answer.body),
         };
     }
     let events = answer.events();
     let in_order = events.iter().enumerate().all(|(at, id)| *id == at as u64);
-    if !in_order || (answer.whole && events.len() as u64 != EVENTS) {
+    if !in_order || (answer.complete && events.len() as u64 != EVENTS_PER_STREAM) {
         return Some(Breach::Order(call.id.clone(), events));
     }
     None
@@ -241,7 +241,7 @@
     let Some(settled) = record.settled else { return Vec::new() };
     let mut runs: HashMap<&str, (usize, usize)> = HashMap::new();
     let seen = record.witnesses.iter().flat_map(|witness| &witness.seen);
-    for seen in seen.filter(|seen| seen.run && seen.deadly) {
+    for seen in seen.filter(|seen| seen.executed && seen.deadly) {
         let name = seen.request.rsplit_once('-').map_or(seen.request.as_str(), |(name, _)| name);
         let (before, after) = runs.entry(name).or_default();
         *(if seen.at < settled { before } else { after }) += 1;
@@ -257,7 +257,7 @@
     let troubles: Vec<&Trouble> = record.troubles.iter().filter(near).collect();
     let stopped = troubles.iter().any(|trouble| trouble.stop == Some(call.node));
     let alone = troubles.iter().all(|trouble| trouble.stop.is_some());
-    let whole = call.answer.as_ref().is_some_and(|answer| answer.status != 0 && answer.whole);
+    let whole = call.answer.as_ref().is_some_and(|answer| answer.status != 0 && answer.complete);
     (stopped && alone && runs > 0 && !whole).then(|| Breach::Cut(call.id.clone(), call.node))
 }
 
@@ -301,7 +301,7 @@
         .flat_map(|other| other.joins.iter().map(|join| (other.id.as_str(), join.group.as_str(), join.epoch)))
         .collect();
     let mut breaches = Vec::new();
-    for seen in witness.seen.iter().filter(|seen| seen.run) {
+    for seen in witness.seen.iter().filter(|seen| seen.executed) {
         let Some((group, epoch)) = &seen.group else { continue };
         let join = witness.joins.iter().rfind(|join| join.group == *group && join.epoch == *epoch);
         let members = join.map(|join| join.members.as_slice()).unwrap_or_default();
--- a/crates/soak/src/deadly.rs
+++ b/crates/soak/src/deadly.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use cottoncrank::Millis;
-use cottoncrank_platform_standin::caller::Question;
+use cottoncrank_platform_standin::caller::CallerRequest;
 use cottoncrank_platform_standin::operator::{READ, STREAM};
 use tokio::sync::watch;
 use tokio::task::JoinSet;
@@ -34,9 +34,10 @@
     pub async fn ask(self, to: SocketAddr, copy: usize, key: &str) {
         let request = format!("{}{copy}", self.prefix());
         let body = format!("a deadly body, number {}", self.0);
-        let question = Question { path: self.path(), request: &request, key, wait_ms: WAIT_MS, body: &body };
+        let question =
+            CallerRequest { path: self.path(), request: &request, key, deadline_ms: WAIT_MS, body: &body };
         // What runners saw is checked; an answer may be anything, or none.
-        let _ = tokio::time::timeout(Millis(WAIT_MS).duration(), question.ask(to)).await;
+        let _ = tokio::time::timeout(Millis(WAIT_MS).duration(), question.send(to)).await;
     }
 
     /// Comes to all nodes in turn until it is aborted. `first` numbers the copies.
--- a/crates/soak/src/fleet.rs
+++ b/crates/soak/src/fleet.rs
@@ -154,7 +154,7 @@
             stall_ms: STALL_MS,
         };
         let file = folder.join(format!("node-{number}.toml"));
-        std::fs::write(&file, settings::write(&settings))?;
+        std::fs::write(&file, settings::render(&settings))?;
         let log = folder.join(format!("node-{number}.log"));
         Ok(Node { number, callers, store, lives: 0, file, log, child: None })
     }
--- a/crates/soak/src/groups.rs
+++ b/crates/soak/src/groups.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-use cottoncrank_platform_standin::runner::{Place, Runner};
+use cottoncrank_platform_standin::runner::{Membership, Runner};
 
 use crate::check::Breach;
 use crate::fleet::STALL_MS;
@@ -14,7 +14,7 @@
     /// Its id.
     pub id: String,
     /// Its place, if it is in a group.
-    pub place: Option<Place>,
+    pub place: Option<Membership>,
     /// The members of that group.
     pub members: Vec<String>,
 }
@@ -22,8 +22,8 @@
 impl Row {
     /// Reads a runner.
     pub fn read(runner: &Runner) -> Row {
-        let place = runner.place();
-        let joins = runner.history();
+        let place = runner.membership();
+        let joins = runner.joins();
         let is_here = |group: &str, epoch| {
             place.as_ref().is_some_and(|place| place.group == group && place.epoch == epoch)
         };
@@ -46,7 +46,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Watch {
     /// The latest group of each runner.
-    latest: HashMap<usize, Place>,
+    latest: HashMap<usize, Membership>,
     /// Since when open groups have lacked a member.
     lacking: HashMap<(String, u64), Instant>,
 }
@@ -65,7 +65,7 @@
             let Some(place) = &row.place else { continue };
             let former = self.latest.insert(at, place.clone());
             let Some(former) = former.filter(|former| !is_same(former, place)) else { continue };
-            let open = |other: &Place| other.open && is_same(other, &former);
+            let open = |other: &Membership| other.open && is_same(other, &former);
             let head = rows.iter().find(|other| other.id != row.id && other.place.as_ref().is_some_and(open));
             if let Some(head) = head {
                 let (joined, left) = (place.group.clone(), former.group.clone());
@@ -92,6 +92,6 @@
     }
 }
 
-fn is_same(one: &Place, other: &Place) -> bool {
+fn is_same(one: &Membership, other: &Membership) -> bool {
     one.group == other.group && one.epoch == other.epoch
 }
--- a/crates/soak/src/limits.rs
+++ b/crates/soak/src/limits.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-use cottoncrank_platform_standin::runner::Seen;
+use cottoncrank_platform_standin::runner::ReceivedRequest;
 
 use crate::check::{Breach, Record, Trouble, Witness, excuses};
 
@@ -25,7 +25,7 @@
 
 /// A request that came to a runner.
 struct Came<'a> {
-    seen: &'a Seen,
+    seen: &'a ReceivedRequest,
     node: usize,
 }
 
@@ -35,7 +35,8 @@
     let came = witness.seen.iter();
     let came: Vec<Came> =
         came.filter_map(|seen| Some(Came { seen, node: *nodes.get(seen.request.as_str())? })).collect();
-    let spans = came.chunk_by(|a, b| a.seen.limit == b.seen.limit && a.seen.life == b.seen.life);
+    let spans =
+        came.chunk_by(|a, b| a.seen.limit == b.seen.limit && a.seen.incarnation == b.seen.incarnation);
     spans.filter_map(|span| check_span(witness, record, span)).collect()
 }
 
--- a/crates/soak/src/load.rs
+++ b/crates/soak/src/load.rs
@@ -123,7 +123,7 @@
         let kind = [Kind::Stream, Kind::Stream, Kind::Read, Kind::Once][rng.random_range(0..4)];
         let id = format!("c{}-{count}", self.number);
         let sent = Instant::now();
-        let asked = open.ask(kind.path(), &id, &keys[key]);
+        let asked = open.send_request(kind.path(), &id, &keys[key]);
         let answer = tokio::time::timeout(WAIT.duration(), asked).await.ok();
         Call { id, kind, node: self.node.0, life, key, sent, done: Instant::now(), answer }
     }
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use cottoncrank::Millis;
-use cottoncrank_platform_standin::caller::ask;
+use cottoncrank_platform_standin::caller::send_request;
 use cottoncrank_platform_standin::foreign;
 use cottoncrank_platform_standin::runner;
 use cottoncrank_platform_standin::store;
@@ -88,7 +88,7 @@
     copies: usize,
     settled: Option<Instant>,
     /// What the store held every two seconds, the latest last.
-    kept: VecDeque<(Instant, store::Copy)>,
+    kept: VecDeque<(Instant, store::Snapshot)>,
 }
 
 /// Plays a plan. Settings and logs of the nodes go into `folder`.
@@ -112,7 +112,7 @@
     run.tell();
     run.await_service().await;
     for server in &run.fleet.engines {
-        server.runner.set_pace(PACE);
+        server.runner.set_event_interval(PACE);
     }
     let calls = run.load().await;
     run.heal_all();
@@ -124,7 +124,7 @@
 }
 
 fn is_served(call: &Call) -> bool {
-    call.answer.as_ref().is_some_and(|answer| answer.status == 200 && answer.whole)
+    call.answer.as_ref().is_some_and(|answer| answer.status == 200 && answer.complete)
 }
 
 impl Run<'_> {
@@ -196,21 +196,21 @@
             Fault::Store(fault) => fleet.store.set_fault(match fault {
                 StoreFault::Busy => store::Fault::Busy,
                 StoreFault::Silent => store::Fault::Silent,
-                StoreFault::Deaf => store::Fault::Deaf,
-                StoreFault::Lossy => store::Fault::Lossy,
+                StoreFault::Deaf => store::Fault::WritesDropped,
+                StoreFault::Lossy => store::Fault::WriteAnswersLost,
             }),
-            Fault::Forget => fleet.store.forget(),
+            Fault::Forget => fleet.store.compact(),
             Fault::Runner(runner, fault) => fleet.engines[runner].runner.set_fault(match fault {
                 RunnerFault::Full => runner::Fault::Full,
                 RunnerFault::Lost => runner::Fault::Lost,
                 RunnerFault::Foreign => runner::Fault::Foreign,
                 RunnerFault::Broken => runner::Fault::Broken(3),
                 RunnerFault::Short => runner::Fault::Short,
-                RunnerFault::Mute => runner::Fault::Mute,
-                RunnerFault::Dark => runner::Fault::Dark,
+                RunnerFault::Mute => runner::Fault::NoAnswer,
+                RunnerFault::Dark => runner::Fault::Unresponsive,
                 RunnerFault::BackOff => runner::Fault::BackOff(BACKOFF),
             }),
-            Fault::Lapse(runner) => fleet.engines[runner].runner.lapse(),
+            Fault::Lapse(runner) => fleet.engines[runner].runner.expire_entry(),
             Fault::Leave(runner) => {
                 fleet.engines[runner].runner.drain();
                 self.left.entry(runner).or_insert_with(Instant::now);
@@ -220,7 +220,7 @@
             Fault::Restart(runner) => fleet.engines[runner].runner.crash(),
             Fault::Foreign(runner, kind) => {
                 let known = &fleet.engines[runner].runner;
-                let entries = foreign::list_entries(&known.entry());
+                let entries = foreign::list_invalid_entries(&known.entry());
                 fleet.store.put_entry(known.id(), &entries[kind % entries.len()].1);
             }
             Fault::Rekey => fleet.rekey(),
@@ -234,7 +234,7 @@
     /// Keeps a copy of the store now and then.
     fn keep_copy(&mut self, now: Instant) {
         if self.kept.back().is_none_or(|(at, _)| now >= *at + COPY_PAUSE) {
-            self.kept.push_back((now, self.fleet.store.copy()));
+            self.kept.push_back((now, self.fleet.store.snapshot()));
         }
         if self.kept.len() > COPIES_KEPT {
             self.kept.pop_front();
@@ -244,7 +244,7 @@
     /// The store is back from the oldest copy that is kept, and all but the nodes write again.
     fn come_back(&mut self) {
         if let Some((_, copy)) = self.kept.pop_front() {
-            self.fleet.store.go_back(&copy);
+            self.fleet.store.restore(&copy);
             // Later copies are of what is gone.
             self.kept.clear();
         }
@@ -253,11 +253,11 @@
         for (number, server) in self.fleet.engines.iter().enumerate() {
             let ended = |active: &Active| matches!(active.fault, Fault::Restart(r) | Fault::Lapse(r) | Fault::Foreign(r, _) if r == number);
             if !self.active.iter().any(ended) {
-                server.runner.enter();
+                server.runner.write_entry();
             }
         }
         for server in &self.fleet.plain {
-            server.runner.enter();
+            server.runner.write_entry();
         }
     }
 
@@ -305,11 +305,11 @@
             Fault::RunnerLink(runner, _) => fleet.engines[runner].link.set_harm(None),
             Fault::Store(_) => fleet.store.set_fault(store::Fault::None),
             Fault::Runner(runner, _) => fleet.engines[runner].runner.set_fault(runner::Fault::None),
-            Fault::Lapse(runner) | Fault::Foreign(runner, _) => fleet.engines[runner].runner.enter(),
+            Fault::Lapse(runner) | Fault::Foreign(runner, _) => fleet.engines[runner].runner.write_entry(),
             Fault::Restart(runner) if self.left.contains_key(&runner) => {}
             Fault::Restart(runner) => {
-                fleet.engines[runner].runner.revive();
-                fleet.engines[runner].runner.enter();
+                fleet.engines[runner].runner.relaunch();
+                fleet.engines[runner].runner.write_entry();
             }
             Fault::Deadly(number) => {
                 if let Some(coming) = self.deadly.get(&number) {
@@ -398,7 +398,8 @@
                     count += 1;
                     let id = format!("probe-{node}-{count}-{}", self.left.len());
                     let asked =
-                        tokio::time::timeout(LOOK.duration() * 50, ask(to, kind.path(), &id, key)).await;
+                        tokio::time::timeout(LOOK.duration() * 50, send_request(to, kind.path(), &id, key))
+                            .await;
                     let status = asked.ok().and_then(Result::ok).map_or(0, |answer| answer.status);
                     if status == 200 {
                         break;
@@ -421,8 +422,8 @@
         };
         let witness = |runner: &runner::Runner| Witness {
             id: runner.id().to_owned(),
-            seen: runner.seen(),
-            joins: runner.history(),
+            seen: runner.requests(),
+            joins: runner.joins(),
             left: left(runner.id()),
         };
         Record {
--- a/crates/soak/tests/checks.rs
+++ b/crates/soak/tests/checks.rs
@@ -4,7 +4,7 @@
 
 use cottoncrank::Millis;
 use cottoncrank_platform_standin::caller::Answer;
-use cottoncrank_platform_standin::runner::{EVENTS, Join, Place, Seen};
+use cottoncrank_platform_standin::runner::{EVENTS_PER_STREAM, Join, Membership, ReceivedRequest};
 use cottoncrank_soak::check::{Breach, Record, Trouble, Witness, check};
 use cottoncrank_soak::groups::{Row, Watch};
 use cottoncrank_soak::load::{Call, Kind};
@@ -19,25 +19,25 @@
     Call { id: id.to_owned(), kind, node: 0, life: 1, key: 0, sent, done, answer: Some(answer) }
 }
 
-fn seen(request: &str, at: Instant) -> Seen {
-    Seen {
+fn seen(request: &str, at: Instant) -> ReceivedRequest {
+    ReceivedRequest {
         request: request.to_owned(),
         account: Some("acme".to_owned()),
-        key: false,
+        has_key: false,
         priority: None,
         last_event: None,
-        run: true,
+        executed: true,
         deadly: false,
         backoff: None,
         limit: None,
-        life: 1,
+        incarnation: 1,
         leaving: false,
         group: None,
         at,
     }
 }
 
-fn witness(id: &str, seen: Vec<Seen>) -> Witness {
+fn witness(id: &str, seen: Vec<ReceivedRequest>) -> Witness {
     Witness { id: id.to_owned(), seen, joins: Vec::new(), left: None }
 }
 
@@ -45,7 +45,7 @@
     ids.into_iter().map(|id| format!("id: {id}\ndata: token-{id}\n\n")).collect()
 }
 
-fn record(calls: Vec<Call>, seen: Vec<Seen>) -> Record {
+fn record(calls: Vec<Call>, seen: Vec<ReceivedRequest>) -> Record {
     Record { calls, witnesses: vec![witness("p-0", seen)], revoked: vec![None], ..Record::default() }
 }
 
@@ -54,7 +54,7 @@
     let now = Instant::now();
     let calls = vec![
         call("a", Kind::Once, now, Answer::signed("a", 200, "done a")),
-        call("b", Kind::Stream, now, Answer::signed("b", 200, &events(0..EVENTS))),
+        call("b", Kind::Stream, now, Answer::signed("b", 200, &events(0..EVENTS_PER_STREAM))),
         call("c", Kind::Read, now, Answer::signed("c", 503, "busy")),
     ];
     assert_eq!(check(&record(calls, vec![seen("a", now), seen("b", now)])), []);
@@ -77,7 +77,7 @@
         assert!(matches!(check(&record(vec![stream], Vec::new()))[..], [Breach::Order(..)]));
     }
     let mut cut = call("a", Kind::Stream, now, Answer::signed("a", 200, &events(0..3)));
-    cut.answer.as_mut().unwrap().whole = false;
+    cut.answer.as_mut().unwrap().complete = false;
     assert_eq!(check(&record(vec![cut], Vec::new())), [], "a stream that is cut openly is no lie");
 }
 
@@ -113,7 +113,7 @@
 #[test]
 fn a_request_to_a_runner_that_left_is_noticed_unless_something_was_wrong() {
     let now = Instant::now();
-    let mut late = record(Vec::new(), vec![Seen { leaving: true, ..seen("a", now + seconds(4)) }]);
+    let mut late = record(Vec::new(), vec![ReceivedRequest { leaving: true, ..seen("a", now + seconds(4)) }]);
     late.witnesses[0].left = Some(now);
     assert!(matches!(check(&late)[..], [Breach::Drain(..)]));
     late.troubles = vec![Trouble { from: now, to: now + seconds(2), stop: None, fault: None }];
@@ -124,7 +124,7 @@
 fn a_planned_stop_that_cuts_a_request_is_noticed() {
     let now = Instant::now();
     let mut broken = call("a", Kind::Read, now + seconds(1), Answer::default());
-    broken.answer.as_mut().unwrap().whole = false;
+    broken.answer.as_mut().unwrap().complete = false;
     let mut cut = record(vec![broken], vec![seen("a", now + seconds(1))]);
     cut.troubles = vec![Trouble { from: now, to: now + seconds(3), stop: Some(0), fault: None }];
     assert_eq!(check(&cut), [Breach::Cut("a".into(), 0)]);
@@ -141,7 +141,7 @@
         members: vec!["e-0".into(), "e-1".into()],
         at: now,
     };
-    let run = Seen { group: Some(("g3".into(), 3)), ..seen("a", now) };
+    let run = ReceivedRequest { group: Some(("g3".into(), 3)), ..seen("a", now) };
     let head = Witness { joins: vec![join("g3")], ..witness("e-0", vec![run]) };
     let member = Witness { joins: vec![join("g2")], ..witness("e-1", Vec::new()) };
     let partial = Record { witnesses: vec![head.clone(), member], ..Record::default() };
@@ -151,7 +151,7 @@
 }
 
 fn row(id: &str, group: &str, open: bool) -> Row {
-    let place = Place { group: group.into(), epoch: 1, open };
+    let place = Membership { group: group.into(), epoch: 1, open };
     Row { id: id.into(), place: Some(place), members: vec!["e-0".into(), "e-1".into()] }
 }
 
@@ -174,11 +174,18 @@
 #[test]
 fn requests_to_a_runner_that_wants_none_are_noticed() {
     let now = Instant::now();
-    let told = |name: &str, at: Instant| Seen { backoff: Some(Millis(2000)), run: false, ..seen(name, at) };
+    let told = |name: &str, at: Instant| ReceivedRequest {
+        backoff: Some(Millis(2000)),
+        executed: false,
+        ..seen(name, at)
+    };
     let names = ["a", "b", "c", "d"];
     let calls = || names.map(|name| call(name, Kind::Read, now, Answer::default())).to_vec();
     let after = |life: u64| {
-        names[1..].iter().map(move |name| Seen { life, ..told(name, now + seconds(1)) }).collect::<Vec<_>>()
+        names[1..]
+            .iter()
+            .map(move |name| ReceivedRequest { incarnation: life, ..told(name, now + seconds(1)) })
+            .collect::<Vec<_>>()
     };
     let mut seen_all = vec![told("a", now)];
     seen_all.extend(after(1));
@@ -208,11 +215,13 @@
         || names.iter().map(|name| call(name, Kind::Read, now, Answer::default())).collect::<Vec<_>>();
     let came = |pause: usize, limit: &str| {
         let all = (0..100).step_by(pause);
-        let all =
-            all.map(|tenth| Seen { limit: Some(limit.to_owned()), ..seen(&names[tenth], at(tenth as u64)) });
+        let all = all.map(|tenth| ReceivedRequest {
+            limit: Some(limit.to_owned()),
+            ..seen(&names[tenth], at(tenth as u64))
+        });
         all.collect::<Vec<_>>()
     };
-    let breaches = |seen: Vec<Seen>, troubles: Vec<Trouble>| {
+    let breaches = |seen: Vec<ReceivedRequest>, troubles: Vec<Trouble>| {
         let mut sent = record(calls(), vec![]);
         sent.witnesses = vec![witness("e-0", seen)];
         sent.troubles = troubles;
