--- a/crates/controller/src/configure.rs
+++ b/crates/controller/src/configure.rs
@@ -154,7 +154,7 @@
                 state.adopt(next.delta(id::Revision(0)), "an operator");
                 return Ok(next.revision);
             }
-            Ok(Swap::Lost(_)) => {}
+            Ok(Swap::Conflict(_)) => {}
             Err(error @ (StoreError::Unknown(_) | StoreError::Answer)) => unsure = Some(error),
             Err(error) => return Err(ConfigureError::Store(error)),
         }
--- a/crates/controller/src/domains.rs
+++ b/crates/controller/src/domains.rs
@@ -175,7 +175,7 @@
             metrics::counter!("cottoncrank_domain_changes").increment(1);
             hold(state, domain, Held { revision, document: next });
         }
-        Ok(Swap::Lost(value)) => match decode(value.as_ref()) {
+        Ok(Swap::Conflict(value)) => match decode(value.as_ref()) {
             Ok(held) => {
                 log::info!("domain: another node changed {domain} first");
                 hold(state, domain, held);
--- a/crates/controller/src/gossip.rs
+++ b/crates/controller/src/gossip.rs
@@ -308,7 +308,7 @@
 
     fn list_peers(&self) -> Vec<Peer> {
         let members = self.members();
-        self.store.resize(members.iter().filter(|member| member.live).count());
+        self.store.set_nodes(members.iter().filter(|member| member.live).count());
         let known: HashSet<SocketAddr> = members.iter().map(|member| member.node.peer).collect();
         let now = self.now();
         let gone = |member: &Member| member.unreachable_since.is_some_and(|since| now.since(since) > FORGET);
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -69,7 +69,7 @@
     ) -> io::Result<Controller> {
         let clock = System::new();
         let traffics = Traffics::default();
-        let client = |traffic: &Traffic| Client::within(traffic.clone(), reach.clone());
+        let client = |traffic: &Traffic| Client::with_reach(traffic.clone(), reach.clone());
         let store = Store::new(settings.store, client(&traffics.store), clock.clone());
         let state = State::new(settings, client(&traffics.peers), client(&traffics.runners), store, clock);
         let state = Arc::new(state);
--- a/crates/controller/src/server.rs
+++ b/crates/controller/src/server.rs
@@ -5,8 +5,8 @@
 use cottoncrank::Millis;
 use cottoncrank::wire::{Command, Exchange, MAX_EXCHANGE_BYTES, PackedExchange};
 use cottoncrank_net::server::{
-    Answer, BodyError, Head, Incoming, Service, Status, read_body, read_message, reply, reply_bad,
-    reply_json, reply_message, reply_missing,
+    Answer, BodyError, Head, Incoming, Service, Status, read_body, read_message, reply, reply_body_error,
+    reply_json, reply_message, reply_not_found,
 };
 
 use crate::operate::{execute, list_hall_runners};
@@ -28,7 +28,7 @@
         match head.uri().path() {
             "/exchange" => match read_exchange(body).await {
                 Ok(exchange) => reply_message(&self.0.answer_exchange(exchange)),
-                Err(error) => reply_bad(&error),
+                Err(error) => reply_body_error(&error),
             },
             "/runners" => reply_message(&list_hall_runners(&self.0)),
             // A new controller knows only a part of the groups. The entry keeps the
@@ -36,21 +36,21 @@
             "/view" if !self.0.is_settled() => reply(Status::SERVICE_UNAVAILABLE, "text/plain", "joining\n"),
             "/view" => match read_message::<u64>(body, 64).await {
                 Ok(known) => reply_message(&wait_view(&self.0, known, VIEW_WAIT).await),
-                Err(error) => reply_bad(&error),
+                Err(error) => reply_body_error(&error),
             },
             "/command" => match read_message::<Command>(body, COMMAND_MAX).await {
                 Ok(command) => reply_message(&execute(&self.0, &command.line).await),
-                Err(error) => reply_bad(&error),
+                Err(error) => reply_body_error(&error),
             },
             "/v1/command" => self.answer_text(body).await,
-            _ => reply_missing(),
+            _ => reply_not_found(),
         }
     }
 }
 
 async fn read_exchange(body: Incoming) -> Result<Exchange, BodyError> {
     let packed: PackedExchange = read_message(body, MAX_EXCHANGE_BYTES).await?;
-    packed.unpack().map_err(|error| BodyError::Unreadable(error.to_string()))
+    packed.unpack().map_err(|error| BodyError::Invalid(error.to_string()))
 }
 
 impl Front {
@@ -58,7 +58,7 @@
     async fn answer_text(&self, body: Incoming) -> Answer {
         let line = match read_body(body, COMMAND_MAX).await {
             Ok(bytes) => String::from_utf8_lossy(&bytes).into_owned(),
-            Err(error) => return reply_bad(&error),
+            Err(error) => return reply_body_error(&error),
         };
         let answer = execute(&self.0, &line).await;
         let status = if answer.ok { Status::OK } else { Status::BAD_REQUEST };
--- a/crates/entry/src/caller.rs
+++ b/crates/entry/src/caller.rs
@@ -77,7 +77,7 @@
         once,
         priority: priority as u8,
         deadline: now + wait,
-        trace: Context::take(headers, &mut rand::rng()),
+        trace: Context::from_headers(headers, &mut rand::rng()),
     })
 }
 
--- a/crates/entry/src/front.rs
+++ b/crates/entry/src/front.rs
@@ -6,7 +6,7 @@
 use cottoncrank::wire::{Claim, KeyedOutcome};
 use cottoncrank_net::server::{
     Answer, BodyError, Head, Incoming, Service, Status, discard_body, header, read_body, read_message,
-    reply_bad, reply_message, reply_missing,
+    reply_body_error, reply_message, reply_not_found,
 };
 use tracing::Instrument;
 
@@ -31,9 +31,9 @@
         match head.uri().path() {
             "/claim" => match read_message::<Claim>(body, CLAIM_MAX).await {
                 Ok(claim) => reply_message(&keys::answer_claim(&self.0, claim)),
-                Err(error) => reply_bad(&error),
+                Err(error) => reply_body_error(&error),
             },
-            _ => reply_missing(),
+            _ => reply_not_found(),
         }
     }
 }
@@ -141,7 +141,7 @@
         read_body(body, self.0.settings.body_max).await.map_err(|error| {
             Failure::not_run(match error {
                 BodyError::TooLarge(max) => Cause::TooLarge(max),
-                BodyError::Broken | BodyError::Unreadable(_) => Cause::Malformed(error.to_string()),
+                BodyError::Broken | BodyError::Invalid(_) => Cause::Malformed(error.to_string()),
             })
         })
     }
--- a/crates/entry/src/relay.rs
+++ b/crates/entry/src/relay.rs
@@ -240,7 +240,7 @@
         let body = rmp_serde::to_vec(&ask).map_err(|_| TryError::Foreign)?;
         let owed = u64::from(self.job.max_tokens - self.delivered);
         let mut headers = HeaderMap::new();
-        self.terms.trace.child(&mut rand::rng()).pass(&mut headers);
+        self.terms.trace.child(&mut rand::rng()).insert_into(&mut headers);
         let wait = self.terms.deadline.since(self.state.now());
         self.progress.begin_attempt();
         self.state.add_sent(&group.id, owed);
--- a/crates/entry/src/services.rs
+++ b/crates/entry/src/services.rs
@@ -126,7 +126,7 @@
     if let Some(key) = terms.key.as_ref().and_then(|key| key.parse().ok()) {
         headers.insert(header::HeaderName::from_static(KEY), key);
     }
-    terms.trace.child(&mut rand::rng()).pass(&mut headers);
+    terms.trace.child(&mut rand::rng()).insert_into(&mut headers);
     let sent =
         state.client.send(address, call.method.clone(), &call.path, headers, call.body.clone(), wait).await;
     let answer = match sent {
--- a/crates/net/src/client.rs
+++ b/crates/net/src/client.rs
@@ -28,14 +28,14 @@
 pub const ANSWER_MAX: usize = 8 << 20;
 
 /// How long an idle connection is kept.
-const IDLE: Millis = Millis(20_000);
+const IDLE_TIMEOUT: Millis = Millis(20_000);
 
 /// An answer later than its time by more than this came while the box was suspended, or lay
 /// here: a timer on a busy box is late by 0.1 to 0.3 s.
-const OVERSLEPT: Millis = Millis(500);
+const SUSPENSION_MARGIN: Millis = Millis(500);
 
 /// How long a connection may take to be made.
-const CONNECT: Millis = Millis(400);
+const CONNECT_TIMEOUT: Millis = Millis(400);
 
 /// A call that gave no answer, or none that can be used.
 #[derive(Debug, Error)]
@@ -57,12 +57,12 @@
         reason: String,
     },
     /// No answer in time; the call may have taken effect.
-    #[error("no answer from {address} within {wait}")]
-    Late {
+    #[error("no answer from {address} within {timeout}")]
+    Timeout {
         /// The other side.
         address: SocketAddr,
         /// How long it was waited for.
-        wait: Millis,
+        timeout: Millis,
     },
     /// The other side answered with an error.
     #[error("{address} answered {status}")]
@@ -123,7 +123,7 @@
     }
 
     /// Ends once the address is cut.
-    async fn wait_cut(&self, address: SocketAddr) {
+    async fn wait_until_cut(&self, address: SocketAddr) {
         // The sender lives as long as `self`, so the wait ends only with a cut.
         let _ = self.0.subscribe().wait_for(|cut| cut.contains(&address)).await;
     }
@@ -152,12 +152,12 @@
 }
 
 /// A TCP stream that counts.
-pub struct Counted {
+pub struct CountedStream {
     stream: TcpStream,
     traffic: Traffic,
 }
 
-impl AsyncRead for Counted {
+impl AsyncRead for CountedStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -171,7 +171,7 @@
     }
 }
 
-impl AsyncWrite for Counted {
+impl AsyncWrite for CountedStream {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         let polled = Pin::new(&mut self.stream).poll_write(cx, buf);
         if let Poll::Ready(Ok(written)) = polled {
@@ -189,7 +189,7 @@
     }
 }
 
-impl Connection for Counted {
+impl Connection for CountedStream {
     fn connected(&self) -> Connected {
         Connected::new()
     }
@@ -200,9 +200,9 @@
 struct Connector(Traffic);
 
 impl tower_service::Service<Uri> for Connector {
-    type Response = TokioIo<Counted>;
+    type Response = TokioIo<CountedStream>;
     type Error = io::Error;
-    type Future = Pin<Box<dyn Future<Output = io::Result<TokioIo<Counted>>> + Send>>;
+    type Future = Pin<Box<dyn Future<Output = io::Result<TokioIo<CountedStream>>> + Send>>;
 
     fn poll_ready(&mut self, _: &mut Context<'_>) -> Poll<io::Result<()>> {
         Poll::Ready(Ok(()))
@@ -215,11 +215,11 @@
                 uri.authority()
                     .and_then(|authority| authority.as_str().parse().ok())
                     .ok_or_else(|| io::Error::new(io::ErrorKind::InvalidInput, "no address"))?;
-            let stream = tokio::time::timeout(CONNECT.duration(), TcpStream::connect(address))
+            let stream = tokio::time::timeout(CONNECT_TIMEOUT.duration(), TcpStream::connect(address))
                 .await
                 .map_err(|_| io::Error::from(io::ErrorKind::TimedOut))??;
             stream.set_nodelay(true)?;
-            Ok(TokioIo::new(Counted { stream, traffic }))
+            Ok(TokioIo::new(CountedStream { stream, traffic }))
         })
     }
 }
@@ -243,7 +243,7 @@
     }
 
     /// A client that reaches no further than `reach` allows.
-    pub fn within(traffic: Traffic, reach: Reach) -> Client {
+    pub fn with_reach(traffic: Traffic, reach: Reach) -> Client {
         Client::build(traffic, Some(reach))
     }
 
@@ -251,7 +251,7 @@
         // A request that was never begun to be written, because an idle connection
         // turned out closed, goes out again on another; nothing was sent twice.
         let inner = hyper_util::client::legacy::Client::builder(TokioExecutor::new())
-            .pool_idle_timeout(IDLE.duration())
+            .pool_idle_timeout(IDLE_TIMEOUT.duration())
             .pool_timer(TokioTimer::new())
             .build(Connector(traffic.clone()));
         Client { inner, traffic, reach, clock: System::new() }
@@ -265,7 +265,7 @@
         path: &str,
         headers: HeaderMap,
         body: Bytes,
-        wait: Millis,
+        timeout: Millis,
     ) -> Result<Answer, CallError> {
         let message = |reason: String| CallError::Message { address, reason };
         let mut request = Request::builder()
@@ -279,17 +279,17 @@
             let Some(reach) = &self.reach else { return self.inner.request(request).await };
             tokio::select! {
                 biased;
-                () = reach.wait_cut(address) => std::future::pending().await,
+                () = reach.wait_until_cut(address) => std::future::pending().await,
                 answer = self.inner.request(request) => answer,
             }
         };
-        match tokio::time::timeout(wait.duration(), answer).await {
+        match tokio::time::timeout(timeout.duration(), answer).await {
             Ok(Ok(answer)) => Ok(answer),
             Ok(Err(error)) if error.is_connect() => {
-                Err(CallError::Connect { address, reason: chain(&error) })
+                Err(CallError::Connect { address, reason: format_sources(&error) })
             }
-            Ok(Err(error)) => Err(CallError::Broken { address, reason: chain(&error) }),
-            Err(_) => Err(CallError::Late { address, wait }),
+            Ok(Err(error)) => Err(CallError::Broken { address, reason: format_sources(&error) }),
+            Err(_) => Err(CallError::Timeout { address, timeout }),
         }
     }
 
@@ -303,17 +303,17 @@
         path: &str,
         headers: HeaderMap,
         body: Bytes,
-        wait: Millis,
+        timeout: Millis,
     ) -> Result<Response<Bytes>, CallError> {
         let exchange = async {
-            let answer = self.send(address, method, path, headers, body, wait).await?;
+            let answer = self.send(address, method, path, headers, body, timeout).await?;
             let (head, body) = answer.into_parts();
             Ok(Response::from_parts(head, read_all(address, body).await?))
         };
-        let begun = self.clock.now();
-        let in_time = tokio::time::timeout(wait.duration(), exchange).await;
-        let overslept = self.clock.now().since(begun) > wait + OVERSLEPT;
-        in_time.ok().filter(|_| !overslept).unwrap_or(Err(CallError::Late { address, wait }))
+        let started = self.clock.now();
+        let in_time = tokio::time::timeout(timeout.duration(), exchange).await;
+        let suspended = self.clock.now().since(started) > timeout + SUSPENSION_MARGIN;
+        in_time.ok().filter(|_| !suspended).unwrap_or(Err(CallError::Timeout { address, timeout }))
     }
 
     /// Calls `path` with one message and reads one back, both in MessagePack.
@@ -321,11 +321,11 @@
         &self,
         address: SocketAddr,
         path: &str,
-        question: &Q,
-        wait: Millis,
+        query: &Q,
+        timeout: Millis,
     ) -> Result<A, CallError> {
-        let body = encode(address, question)?;
-        let exchanged = self.exchange(address, Method::POST, path, HeaderMap::new(), body, wait);
+        let body = encode(address, query)?;
+        let exchanged = self.exchange(address, Method::POST, path, HeaderMap::new(), body, timeout);
         decode(address, exchanged.await?)
     }
 
@@ -336,18 +336,18 @@
         &self,
         address: SocketAddr,
         path: &str,
-        question: &Q,
-        wait: Millis,
-        pause: Millis,
+        query: &Q,
+        timeout: Millis,
+        stall_timeout: Millis,
     ) -> Result<A, CallError> {
-        let body = encode(address, question)?;
-        let begun = self.clock.now();
-        let answer = self.send(address, Method::POST, path, HeaderMap::new(), body, wait).await?;
-        if self.clock.now().since(begun) > wait + OVERSLEPT {
-            return Err(CallError::Late { address, wait });
+        let body = encode(address, query)?;
+        let started = self.clock.now();
+        let answer = self.send(address, Method::POST, path, HeaderMap::new(), body, timeout).await?;
+        if self.clock.now().since(started) > timeout + SUSPENSION_MARGIN {
+            return Err(CallError::Timeout { address, timeout });
         }
         let (head, body) = answer.into_parts();
-        let body = self.read_steadily(address, body, pause).await?;
+        let body = self.read_steadily(address, body, stall_timeout).await?;
         decode(address, Response::from_parts(head, body))
     }
 
@@ -356,16 +356,16 @@
         &self,
         address: SocketAddr,
         body: Incoming,
-        pause: Millis,
+        stall_timeout: Millis,
     ) -> Result<Bytes, CallError> {
         let mut body = Limited::new(body, ANSWER_MAX);
         let mut read = BytesMut::new();
         loop {
-            let begun = self.clock.now();
-            let frame = tokio::time::timeout(pause.duration(), body.frame()).await;
-            let overslept = self.clock.now().since(begun) > pause + OVERSLEPT;
-            let Some(frame) = frame.ok().filter(|_| !overslept) else {
-                return Err(CallError::Late { address, wait: pause });
+            let started = self.clock.now();
+            let frame = tokio::time::timeout(stall_timeout.duration(), body.frame()).await;
+            let suspended = self.clock.now().since(started) > stall_timeout + SUSPENSION_MARGIN;
+            let Some(frame) = frame.ok().filter(|_| !suspended) else {
+                return Err(CallError::Timeout { address, timeout: stall_timeout });
             };
             match frame {
                 Some(Ok(frame)) => read.extend(frame.into_data()),
@@ -376,8 +376,8 @@
     }
 }
 
-fn encode<Q: Serialize>(address: SocketAddr, question: &Q) -> Result<Bytes, CallError> {
-    let encoded = rmp_serde::to_vec(question).map(Bytes::from);
+fn encode<Q: Serialize>(address: SocketAddr, query: &Q) -> Result<Bytes, CallError> {
+    let encoded = rmp_serde::to_vec(query).map(Bytes::from);
     encoded.map_err(|error| CallError::Message { address, reason: error.to_string() })
 }
 
@@ -405,7 +405,7 @@
     headers
 }
 
-fn chain(error: &dyn std::error::Error) -> String {
+fn format_sources(error: &dyn std::error::Error) -> String {
     let mut text = error.to_string();
     let mut source = error.source();
     while let Some(error) = source {
--- a/crates/net/src/public.rs
+++ b/crates/net/src/public.rs
@@ -7,13 +7,13 @@
 
 use metrics_exporter_prometheus::{PrometheusBuilder, PrometheusHandle};
 
-use crate::server::{Answer, Head, Incoming, Server, Service, Status, reply, reply_missing, serve};
+use crate::server::{Answer, Head, Incoming, Server, Service, Status, reply, reply_not_found, serve};
 
 /// Whether the program can take work.
 #[derive(Clone, Debug, Default)]
-pub struct Ready(Arc<AtomicBool>);
+pub struct Readiness(Arc<AtomicBool>);
 
-impl Ready {
+impl Readiness {
     /// Says whether it can.
     pub fn set(&self, ready: bool) {
         self.0.store(ready, Ordering::Relaxed);
@@ -25,18 +25,18 @@
     }
 }
 
-struct Public {
-    ready: Ready,
+struct PublicService {
+    ready: Readiness,
     metrics: PrometheusHandle,
 }
 
 /// Starts the port for health and metrics, if there is to be one. Returns the
 /// switch for `/readyz` with it.
-pub fn start(address: Option<SocketAddr>) -> io::Result<(Ready, Option<Server>)> {
-    let ready = Ready::default();
+pub fn start(address: Option<SocketAddr>) -> io::Result<(Readiness, Option<Server>)> {
+    let ready = Readiness::default();
     let metrics = install_metrics();
     let Some(address) = address else { return Ok((ready, None)) };
-    let service = Arc::new(Public { ready: ready.clone(), metrics });
+    let service = Arc::new(PublicService { ready: ready.clone(), metrics });
     Ok((ready, Some(serve(TcpListener::bind(address)?, 1, service)?)))
 }
 
@@ -50,7 +50,7 @@
     handle
 }
 
-impl Service for Public {
+impl Service for PublicService {
     async fn answer(&self, head: Head, _: Incoming) -> Answer {
         match head.uri().path() {
             "/livez" => reply(Status::OK, "text/plain", "live\n"),
@@ -60,7 +60,7 @@
                 self.metrics.run_upkeep();
                 reply(Status::OK, "text/plain; version=0.0.4", self.metrics.render())
             }
-            _ => reply_missing(),
+            _ => reply_not_found(),
         }
     }
 }
--- a/crates/net/src/server.rs
+++ b/crates/net/src/server.rs
@@ -49,7 +49,7 @@
     Broken,
     /// It does not say what it should.
     #[error("the body cannot be read: {0}")]
-    Unreadable(String),
+    Invalid(String),
 }
 
 /// A running server. Dropping it stops it at once.
@@ -67,10 +67,10 @@
 
     /// Stops it: open connections are cut.
     pub fn stop(mut self) {
-        self.halt();
+        self.shut_down();
     }
 
-    fn halt(&mut self) {
+    fn shut_down(&mut self) {
         (self.stop)();
         if let Some(thread) = self.thread.take() {
             // A worker that panicked has said so on standard error already.
@@ -81,7 +81,7 @@
 
 impl Drop for Server {
     fn drop(&mut self) {
-        self.halt();
+        self.shut_down();
     }
 }
 
@@ -134,7 +134,7 @@
 
 /// How much of a body that is too large is read and thrown away. A caller that
 /// is answered while it still writes may see a broken connection instead.
-const DISCARD_MAX: usize = 16 << 20;
+const MAX_DISCARDED_BYTES: usize = 16 << 20;
 
 /// Reads what is left of a body and throws it away, up to a bound. An answer
 /// that is given while the caller still writes may be lost with the connection.
@@ -143,7 +143,7 @@
     while let Some(Ok(frame)) = body.frame().await {
         let Frame::Data(data) = frame else { continue };
         read += data.len();
-        if read > DISCARD_MAX {
+        if read > MAX_DISCARDED_BYTES {
             break;
         }
     }
@@ -151,20 +151,20 @@
 
 /// Reads a body to its end, up to `max` bytes.
 pub async fn read_body(mut body: RequestBody, max: usize) -> Result<Bytes, BodyError> {
-    let mut whole = Vec::new();
+    let mut collected = Vec::new();
     let mut read = 0;
     while let Some(frame) = body.frame().await {
         let Frame::Data(data) = frame.map_err(|_| BodyError::Broken)? else { continue };
         read += data.len();
-        if read > max + DISCARD_MAX {
+        if read > max + MAX_DISCARDED_BYTES {
             break;
         }
         if read <= max {
-            whole.extend_from_slice(&data);
+            collected.extend_from_slice(&data);
         }
     }
     match read <= max {
-        true => Ok(whole.into()),
+        true => Ok(collected.into()),
         false => Err(BodyError::TooLarge(max)),
     }
 }
@@ -172,7 +172,7 @@
 /// Reads a body in MessagePack.
 pub async fn read_message<T: DeserializeOwned>(body: RequestBody, max: usize) -> Result<T, BodyError> {
     let bytes = read_body(body, max).await?;
-    rmp_serde::from_slice(&bytes).map_err(|error| BodyError::Unreadable(error.to_string()))
+    rmp_serde::from_slice(&bytes).map_err(|error| BodyError::Invalid(error.to_string()))
 }
 
 /// An answer with a body.
@@ -200,16 +200,16 @@
 }
 
 /// An answer that says the request is malformed.
-pub fn reply_bad(error: &BodyError) -> Answer {
+pub fn reply_body_error(error: &BodyError) -> Answer {
     let status = match error {
         BodyError::TooLarge(_) => StatusCode::PAYLOAD_TOO_LARGE,
-        BodyError::Broken | BodyError::Unreadable(_) => StatusCode::BAD_REQUEST,
+        BodyError::Broken | BodyError::Invalid(_) => StatusCode::BAD_REQUEST,
     };
     reply(status, "text/plain", error.to_string())
 }
 
 /// An answer that says there is nothing at this path.
-pub fn reply_missing() -> Answer {
+pub fn reply_not_found() -> Answer {
     reply(StatusCode::NOT_FOUND, "text/plain", "there is nothing here\n")
 }
 
@@ -240,7 +240,7 @@
     type Error = Cut;
 
     fn poll_frame(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, Cut>>> {
-        self.0.poll_recv(cx).map(|next| next.map(|piece| piece.map(Frame::Data)))
+        self.0.poll_recv(cx).map(|next| next.map(|chunk| chunk.map(Frame::Data)))
     }
 }
 
--- a/crates/net/src/store.rs
+++ b/crates/net/src/store.rs
@@ -18,16 +18,16 @@
 use crate::client::{CallError, Client};
 
 /// How long a call may take.
-const WAIT: Millis = Millis(2000);
+const CALL_TIMEOUT: Millis = Millis(2000);
 
 /// How much longer than its own wait a watch may take.
 const WATCH_SLACK: Millis = Millis(2000);
 
 /// How long a call waits for this node's part of the rate.
-const PATIENCE: Millis = Millis(3000);
+const BUDGET_TIMEOUT: Millis = Millis(3000);
 
 /// The pause before the rate is looked at again.
-const PAUSE: Millis = Millis(20);
+const BUDGET_POLL_INTERVAL: Millis = Millis(20);
 
 /// A store call without the result hoped for.
 #[derive(Debug, Error)]
@@ -58,7 +58,7 @@
     /// It took effect at this revision.
     Done(u64),
     /// Another write was first; this is what is there.
-    Lost(Option<Value>),
+    Conflict(Option<Value>),
 }
 
 /// Calls to the store, by kind.
@@ -99,7 +99,7 @@
     }
 
     /// Follows the fleet's size, by which the rate is divided.
-    pub fn resize(&self, nodes: usize) {
+    pub fn set_nodes(&self, nodes: usize) {
         self.state.lock().bucket.set_nodes(nodes);
     }
 
@@ -109,8 +109,8 @@
     }
 
     /// Waits until this node's part of the rate allows a call.
-    async fn pay(&self, purpose: Purpose, count: impl Fn(&mut Calls)) -> Result<(), StoreError> {
-        let end = self.clock.now() + PATIENCE;
+    async fn acquire_budget(&self, purpose: Purpose, count: impl Fn(&mut Calls)) -> Result<(), StoreError> {
+        let deadline = self.clock.now() + BUDGET_TIMEOUT;
         loop {
             {
                 let mut state = self.state.lock();
@@ -123,22 +123,22 @@
                     return Ok(());
                 }
             }
-            if self.clock.now() >= end {
+            if self.clock.now() >= deadline {
                 return Err(StoreError::Budget);
             }
-            tokio::time::sleep(PAUSE.duration()).await;
+            tokio::time::sleep(BUDGET_POLL_INTERVAL.duration()).await;
         }
     }
 
-    async fn ask(&self, call: &Call, wait: Millis) -> Result<Answer, CallError> {
+    async fn send_call(&self, call: &Call, wait: Millis) -> Result<Answer, CallError> {
         self.client.call(self.address, "/kv", call, wait).await
     }
 
     /// Reads a key.
     pub async fn get(&self, key: &str, purpose: Purpose) -> Result<Option<Value>, StoreError> {
-        self.pay(purpose, |calls| calls.gets += 1).await?;
+        self.acquire_budget(purpose, |calls| calls.gets += 1).await?;
         let call = Call::Get { key: key.to_owned() };
-        match self.ask(&call, WAIT).await.map_err(StoreError::Unreachable)? {
+        match self.send_call(&call, CALL_TIMEOUT).await.map_err(StoreError::Unreachable)? {
             Answer::Value(value) => Ok(value),
             Answer::Busy => Err(StoreError::Busy),
             _ => Err(StoreError::Answer),
@@ -153,12 +153,12 @@
         value: Vec<u8>,
         purpose: Purpose,
     ) -> Result<Swap, StoreError> {
-        self.pay(purpose, |calls| calls.swaps += 1).await?;
+        self.acquire_budget(purpose, |calls| calls.swaps += 1).await?;
         let size = value.len();
         let call = Call::Swap { key: key.to_owned(), expect, value, lease: None };
-        match self.ask(&call, WAIT).await {
+        match self.send_call(&call, CALL_TIMEOUT).await {
             Ok(Answer::Swapped(revision)) => Ok(Swap::Done(revision)),
-            Ok(Answer::Conflict(value)) => Ok(Swap::Lost(value)),
+            Ok(Answer::Conflict(value)) => Ok(Swap::Conflict(value)),
             Ok(Answer::Busy) => Err(StoreError::Busy),
             Ok(Answer::TooLarge) => Err(StoreError::TooLarge(size)),
             Ok(_) => Err(StoreError::Answer),
@@ -169,9 +169,9 @@
 
     /// Waits until a key is above a revision; none if it is not within `wait`.
     pub async fn watch(&self, key: &str, above: u64, wait: Millis) -> Result<Option<Value>, StoreError> {
-        self.pay(Purpose::Config, |calls| calls.watches += 1).await?;
+        self.acquire_budget(Purpose::Config, |calls| calls.watches += 1).await?;
         let call = Call::Watch { key: key.to_owned(), above, wait };
-        match self.ask(&call, wait + WATCH_SLACK).await.map_err(StoreError::Unreachable)? {
+        match self.send_call(&call, wait + WATCH_SLACK).await.map_err(StoreError::Unreachable)? {
             Answer::Value(value) => Ok(value),
             Answer::Busy => Err(StoreError::Busy),
             _ => Err(StoreError::Answer),
--- a/crates/net/src/trace.rs
+++ b/crates/net/src/trace.rs
@@ -24,9 +24,9 @@
 
 impl Context {
     /// The context of a request: that of its header, or a new trace.
-    pub fn take(headers: &HeaderMap, rng: &mut impl Rng) -> Context {
-        let given = headers.get(HEADER).and_then(|value| value.to_str().ok()?.parse().ok());
-        given.unwrap_or_else(|| Context { trace: rng.random(), span: rng.random() })
+    pub fn from_headers(headers: &HeaderMap, rng: &mut impl Rng) -> Context {
+        let received = headers.get(HEADER).and_then(|value| value.to_str().ok()?.parse().ok());
+        received.unwrap_or_else(|| Context { trace: rng.random(), span: rng.random() })
     }
 
     /// A span below this one.
@@ -35,7 +35,7 @@
     }
 
     /// Puts the context into the headers of the next hop.
-    pub fn pass(self, headers: &mut HeaderMap) {
+    pub fn insert_into(self, headers: &mut HeaderMap) {
         if let Ok(value) = HeaderValue::from_str(&self.to_string()) {
             headers.insert(HEADER, value);
         }
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -14,7 +14,7 @@
 use cottoncrank_net::client::{Client, Traffic};
 use cottoncrank_net::server::{
     self, Answer, Cut, Head, Incoming, Server, Service, Status, header, read_body, read_message, reply,
-    reply_bad, reply_feed, reply_json, reply_message, reply_missing,
+    reply_body_error, reply_feed, reply_json, reply_message, reply_not_found,
 };
 use parking_lot::Mutex;
 use serde::{Deserialize, Serialize};
@@ -155,7 +155,7 @@
     async fn order(self: &Arc<Self>, engine: &Arc<Engine>, body: Incoming) -> Answer {
         let order: Order = match read_message(body, 1 << 20).await {
             Ok(order) => order,
-            Err(error) => return reply_bad(&error),
+            Err(error) => return reply_body_error(&error),
         };
         let (obeyed, load) = {
             let mut state = engine.state.lock();
@@ -232,7 +232,7 @@
     async fn generate(self: &Arc<Self>, engine: &Arc<Engine>, body: Incoming) -> Answer {
         let ask: Generate = match read_message(body, 16 << 20).await {
             Ok(ask) => ask,
-            Err(error) => return reply_bad(&error),
+            Err(error) => return reply_body_error(&error),
         };
         let refuse = |reason| {
             let refusal = Rejection { request: ask.request, generation: ask.generation, reason };
@@ -342,7 +342,7 @@
         let shared = &self.0;
         let host = head.headers().get(header::HOST).and_then(|host| host.to_str().ok()?.parse().ok());
         let Some(engine) = host.and_then(|host: SocketAddr| shared.engines.get(&host)) else {
-            return reply_missing();
+            return reply_not_found();
         };
         let path = head.uri().path();
         if !path.starts_with("/admin/") {
@@ -354,7 +354,7 @@
             "/generate" => shared.generate(engine, body).await,
             "/rank" => match read_message::<RankCall>(body, 4096).await {
                 Ok(call) => reply_message(&engine.takes_part(&call)),
-                Err(error) => reply_bad(&error),
+                Err(error) => reply_body_error(&error),
             },
             "/admin/history" => reply_json(Status::OK, &engine.state.lock().history),
             "/admin/fault" => match read_body(body, 4096).await.map(|bytes| serde_json::from_slice(&bytes)) {
@@ -363,9 +363,9 @@
                     reply_json(Status::OK, &fault)
                 }
                 Ok(Err(error)) => reply(Status::BAD_REQUEST, "text/plain", error.to_string()),
-                Err(error) => reply_bad(&error),
+                Err(error) => reply_body_error(&error),
             },
-            _ => reply_missing(),
+            _ => reply_not_found(),
         }
     }
 }
--- a/crates/standin/src/list.rs
+++ b/crates/standin/src/list.rs
@@ -9,8 +9,8 @@
 use cottoncrank::wire::{List as Boxes, Listed};
 use cottoncrank::{Clock, Millis};
 use cottoncrank_net::server::{
-    self, Answer, Head, Incoming, Server, Service, Status, read_body, reply, reply_bad, reply_json,
-    reply_message, reply_missing,
+    self, Answer, Head, Incoming, Server, Service, Status, read_body, reply, reply_body_error, reply_json,
+    reply_message, reply_not_found,
 };
 use parking_lot::Mutex;
 
@@ -84,10 +84,10 @@
                         reply(Status::OK, "text/plain", "noted\n")
                     }
                     Ok(Err(error)) => reply(Status::BAD_REQUEST, "text/plain", error.to_string()),
-                    Err(error) => reply_bad(&error),
+                    Err(error) => reply_body_error(&error),
                 }
             }
-            _ => reply_missing(),
+            _ => reply_not_found(),
         }
     }
 }
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -8,7 +8,7 @@
 
 use cottoncrank::Millis;
 use cottoncrank_net::server::{
-    self, Answer, Cut, Head, Incoming, Server, Service as Serve, Status, read_body, reply, reply_bad,
+    self, Answer, Cut, Head, Incoming, Server, Service as Serve, Status, read_body, reply, reply_body_error,
     reply_feed, reply_json,
 };
 use parking_lot::Mutex;
@@ -99,7 +99,7 @@
         let path = head.uri().path().to_owned();
         let bytes = match read_body(body, 1 << 20).await {
             Ok(bytes) => bytes,
-            Err(error) => return reply_bad(&error),
+            Err(error) => return reply_body_error(&error),
         };
         match path.as_str() {
             "/admin/runs" => return reply_json(Status::OK, &self.0.lock().runs),
--- a/crates/standin/src/store.rs
+++ b/crates/standin/src/store.rs
@@ -10,8 +10,8 @@
 use cottoncrank::wire::{Answer, Call, MAX_VALUE_BYTES, Value};
 use cottoncrank::{Clock, Millis};
 use cottoncrank_net::server::{
-    self, Cut, Head, Incoming, Server, Service, Status, read_body, read_message, reply, reply_bad,
-    reply_feed, reply_json, reply_message, reply_missing,
+    self, Cut, Head, Incoming, Server, Service, Status, read_body, read_message, reply, reply_body_error,
+    reply_feed, reply_json, reply_message, reply_not_found,
 };
 use parking_lot::Mutex;
 use serde::{Deserialize, Serialize};
@@ -275,7 +275,7 @@
     async fn answer_call(&self, body: Incoming) -> server::Answer {
         let call: Call = match read_message(body, 2 * MAX_VALUE_BYTES).await {
             Ok(call) => call,
-            Err(error) => return reply_bad(&error),
+            Err(error) => return reply_body_error(&error),
         };
         let (fault, over) = {
             let mut state = self.state.lock();
@@ -326,9 +326,9 @@
                     reply_json(Status::OK, &fault)
                 }
                 Ok(Err(error)) => reply(Status::BAD_REQUEST, "text/plain", error.to_string()),
-                Err(error) => reply_bad(&error),
+                Err(error) => reply_body_error(&error),
             },
-            _ => reply_missing(),
+            _ => reply_not_found(),
         }
     }
 }
--- a/crates/standin/src/weights.rs
+++ b/crates/standin/src/weights.rs
@@ -6,7 +6,9 @@
 
 use cottoncrank::clock::System;
 use cottoncrank::{Clock, Millis};
-use cottoncrank_net::server::{self, Answer, Head, Incoming, Server, Service, Status, reply, reply_missing};
+use cottoncrank_net::server::{
+    self, Answer, Head, Incoming, Server, Service, Status, reply, reply_not_found,
+};
 use parking_lot::Mutex;
 
 struct Shared {
@@ -36,7 +38,7 @@
 impl Service for Shared {
     async fn answer(&self, head: Head, _: Incoming) -> Answer {
         if head.uri().path() != "/load" {
-            return reply_missing();
+            return reply_not_found();
         }
         let now = self.clock.now();
         let end = {
