--- a/crates/net/src/client.rs
+++ b/crates/net/src/client.rs
@@ -1,4 +1,4 @@
-//! Calls to other processes, counted as they go over the wire.
+//! The HTTP client for calls to other processes. It counts the bytes on the wire.
 
 use std::collections::HashSet;
 use std::io;
@@ -24,23 +24,23 @@
 use tokio::net::TcpStream;
 use tokio::sync::watch;
 
-/// The largest answer that is read whole, in bytes.
+/// The largest answer body that is read to its end, in bytes.
 pub const ANSWER_MAX: usize = 8 << 20;
 
-/// How long an idle connection is kept.
+/// How long an idle connection is kept in the pool. Servers keep it longer.
 const IDLE_TIMEOUT: Millis = Millis(20_000);
 
-/// An answer later than its time by more than this came while the box was suspended, or lay
-/// here: a timer on a busy box is late by 0.1 to 0.3 s.
+/// An answer that exceeds its timeout by more than this arrived while the box was suspended, or waited
+/// here unread. It counts as timed out. Timers on a busy box are 0.1 to 0.3 s late.
 const SUSPENSION_MARGIN: Millis = Millis(500);
 
-/// How long a connection may take to be made.
+/// How long the setup of a connection may take.
 const CONNECT_TIMEOUT: Millis = Millis(400);
 
-/// A call that gave no answer, or none that can be used.
+/// The error of a call without a usable answer.
 #[derive(Debug, Error)]
 pub enum CallError {
-    /// No connection was made: nothing was sent.
+    /// No connection was established, so nothing was sent.
     #[error("no connection to {address}: {reason}")]
     Connect {
         /// The other side.
@@ -56,15 +56,15 @@
         /// Why.
         reason: String,
     },
-    /// No answer in time; the call may have taken effect.
+    /// No answer arrived in time; the call may have taken effect.
     #[error("no answer from {address} within {timeout}")]
     Timeout {
         /// The other side.
         address: SocketAddr,
-        /// How long it was waited for.
+        /// The timeout of the call.
         timeout: Millis,
     },
-    /// The other side answered with an error.
+    /// The other side answered with an error status.
     #[error("{address} answered {status}")]
     Status {
         /// The other side.
@@ -72,8 +72,8 @@
         /// The status.
         status: StatusCode,
     },
-    /// The message could not be encoded, or the answer not decoded.
-    #[error("bad message with {address}: {reason}")]
+    /// The message could not be encoded, or the answer could not be decoded.
+    #[error("invalid message to or from {address}: {reason}")]
     Message {
         /// The other side.
         address: SocketAddr,
@@ -83,13 +83,13 @@
 }
 
 impl CallError {
-    /// Surely nothing of the call reached the other side.
+    /// Whether it is certain that nothing of the call reached the other side.
     pub fn is_unsent(&self) -> bool {
         matches!(self, CallError::Connect { .. })
     }
 }
 
-/// Bytes over all connections of a client, heads included.
+/// Counts the calls of a client and the bytes on all its connections, HTTP heads included.
 #[derive(Clone, Debug, Default)]
 pub struct Traffic(Arc<Counters>);
 
@@ -100,8 +100,8 @@
     calls: AtomicU64,
 }
 
-/// How far a client reaches. Failure tests cut it: a cut address never answers,
-/// not even a call that was under way.
+/// The addresses that a client cannot reach, for tests of network partitions. A cut address never
+/// answers, not even a call that is in flight when it is cut.
 #[derive(Clone, Debug)]
 pub struct Reach(Arc<watch::Sender<HashSet<SocketAddr>>>);
 
@@ -112,19 +112,19 @@
 }
 
 impl Reach {
-    /// From now on these addresses do not answer.
+    /// Cuts off these addresses from now on.
     pub fn cut(&self, addresses: impl IntoIterator<Item = SocketAddr>) {
         self.0.send_modify(|cut| cut.extend(addresses));
     }
 
-    /// All addresses can be reached again.
+    /// Makes all addresses reachable again.
     pub fn heal(&self) {
         self.0.send_modify(HashSet::clear);
     }
 
-    /// Ends once the address is cut.
+    /// Waits until the address is cut off.
     async fn wait_until_cut(&self, address: SocketAddr) {
-        // The sender lives as long as `self`, so the wait ends only with a cut.
+        // The sender lives as long as `self`, so the wait ends only when the address is cut off.
         let _ = self.0.subscribe().wait_for(|cut| cut.contains(&address)).await;
     }
 }
@@ -141,7 +141,7 @@
 }
 
 impl Traffic {
-    /// The counts so far.
+    /// Returns the counts so far.
     pub fn tally(&self) -> Tally {
         Tally {
             sent: self.0.sent.load(Ordering::Relaxed),
@@ -151,7 +151,7 @@
     }
 }
 
-/// A TCP stream that counts.
+/// A TCP stream that counts its bytes.
 pub struct CountedStream {
     stream: TcpStream,
     traffic: Traffic,
@@ -195,7 +195,7 @@
     }
 }
 
-/// Makes counted connections.
+/// Establishes connections that count their bytes.
 #[derive(Clone)]
 struct Connector(Traffic);
 
@@ -224,7 +224,7 @@
     }
 }
 
-/// A client with its pool of connections.
+/// An HTTP client with its connection pool.
 #[derive(Clone)]
 pub struct Client {
     inner: hyper_util::client::legacy::Client<Connector, Full<Bytes>>,
@@ -237,19 +237,19 @@
 pub type Answer = Response<Incoming>;
 
 impl Client {
-    /// A client that counts into `traffic`.
+    /// Returns a client that counts into `traffic`.
     pub fn new(traffic: Traffic) -> Client {
         Client::build(traffic, None)
     }
 
-    /// A client that reaches no further than `reach` allows.
+    /// Returns a client whose calls to the addresses that `reach` cuts off get no answer.
     pub fn with_reach(traffic: Traffic, reach: Reach) -> Client {
         Client::build(traffic, Some(reach))
     }
 
     fn build(traffic: Traffic, reach: Option<Reach>) -> Client {
-        // A request that was never begun to be written, because an idle connection
-        // turned out closed, goes out again on another; nothing was sent twice.
+        // A request is sent again on another connection if an idle one turned out to be closed before
+        // any of it was written, so nothing is sent twice.
         let inner = hyper_util::client::legacy::Client::builder(TokioExecutor::new())
             .pool_idle_timeout(IDLE_TIMEOUT.duration())
             .pool_timer(TokioTimer::new())
@@ -293,9 +293,9 @@
         }
     }
 
-    /// Sends a request and reads the answer to its end, all within `wait`: a connection may go
-    /// silent within an answer, and the rest of it would be waited for for good. An answer that
-    /// lay here while the box was suspended is as late as one that came late.
+    /// Sends a request and reads the answer to its end, all within `timeout`. The timeout covers the
+    /// body because otherwise a connection that goes silent within an answer would block the call
+    /// forever. An answer that waited here while the box was suspended counts as timed out.
     pub async fn exchange(
         &self,
         address: SocketAddr,
@@ -316,7 +316,7 @@
         in_time.ok().filter(|_| !suspended).unwrap_or(Err(CallError::Timeout { address, timeout }))
     }
 
-    /// Calls `path` with one message and reads one back, both in MessagePack.
+    /// Sends one message to `path` and reads one back, both in MessagePack.
     pub async fn call<Q: Serialize, A: DeserializeOwned>(
         &self,
         address: SocketAddr,
@@ -329,9 +329,9 @@
         decode(address, exchanged.await?)
     }
 
-    /// The same for an answer of any size: it has to begin within `wait`, and to go on within
-    /// `pause` each time. A bound on the whole would give up the more answers the larger they are,
-    /// and each that is given up is asked for again.
+    /// Like [`Client::call`], without a bound on the duration of the whole answer. Its head has to
+    /// arrive within `timeout`, and each further part within `stall_timeout`. A bound on the whole
+    /// would abort large answers the most often, and each aborted answer is requested again.
     pub async fn call_steadily<Q: Serialize, A: DeserializeOwned>(
         &self,
         address: SocketAddr,
@@ -351,7 +351,7 @@
         decode(address, Response::from_parts(head, body))
     }
 
-    /// Reads a body to its end that goes on within `pause` each time.
+    /// Reads a body to its end. Each part has to arrive within `stall_timeout`.
     async fn read_steadily(
         &self,
         address: SocketAddr,
@@ -390,7 +390,7 @@
     decoded.map_err(|error| CallError::Message { address, reason: error.to_string() })
 }
 
-/// Reads a body to its end.
+/// Reads a body to its end, up to [`ANSWER_MAX`].
 pub async fn read_all(address: SocketAddr, body: Incoming) -> Result<Bytes, CallError> {
     match Limited::new(body, ANSWER_MAX).collect().await {
         Ok(collected) => Ok(collected.to_bytes()),
@@ -398,7 +398,7 @@
     }
 }
 
-/// The header that says a body is JSON.
+/// Returns the headers for a JSON body.
 pub fn json_headers() -> HeaderMap {
     let mut headers = HeaderMap::new();
     headers.insert(CONTENT_TYPE, hyper::header::HeaderValue::from_static("application/json"));
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -1,6 +1,5 @@
-//! HTTP for cottoncrank's processes: one way to serve, one way to call, and the
-//! client of the platform's store. The libraries underneath are `xitca-web`
-//! and `hyper-util`; nothing else in the workspace names them.
+//! HTTP for the processes of cottoncrank: a server, a client, and the client of the platform's store.
+//! They are built on `xitca-web` and `hyper-util`.
 //!
 //! ```no_run
 //! use cottoncrank_net::client::{Client, Traffic};
--- a/crates/net/src/public.rs
+++ b/crates/net/src/public.rs
@@ -1,4 +1,4 @@
-//! The port of every program for health and metrics.
+//! The HTTP port for health checks and metrics that every program has.
 
 use std::io;
 use std::net::{SocketAddr, TcpListener};
@@ -9,17 +9,17 @@
 
 use crate::server::{Answer, Head, Incoming, Server, Service, Status, reply, reply_not_found, serve};
 
-/// Whether the program can take work.
+/// Whether the program can accept work, as `/readyz` reports it.
 #[derive(Clone, Debug, Default)]
 pub struct Readiness(Arc<AtomicBool>);
 
 impl Readiness {
-    /// Says whether it can.
+    /// Sets whether the program can accept work.
     pub fn set(&self, ready: bool) {
         self.0.store(ready, Ordering::Relaxed);
     }
 
-    /// Whether it can.
+    /// Whether the program can accept work.
     pub fn get(&self) -> bool {
         self.0.load(Ordering::Relaxed)
     }
@@ -30,8 +30,8 @@
     metrics: PrometheusHandle,
 }
 
-/// Starts the port for health and metrics, if there is to be one. Returns the
-/// switch for `/readyz` with it.
+/// Starts the server for health checks and metrics, if an address is given. Also returns the readiness
+/// that `/readyz` reports.
 pub fn start(address: Option<SocketAddr>) -> io::Result<(Readiness, Option<Server>)> {
     let ready = Readiness::default();
     let metrics = install_metrics();
@@ -40,12 +40,12 @@
     Ok((ready, Some(serve(TcpListener::bind(address)?, 1, service)?)))
 }
 
-/// Installs the recorder of metrics of this process. Only the first call can.
+/// Installs the metrics recorder of this process. Only the first call in a process takes effect.
 fn install_metrics() -> PrometheusHandle {
     let recorder = PrometheusBuilder::new().build_recorder();
     let handle = recorder.handle();
     if metrics::set_global_recorder(recorder).is_err() {
-        log::debug!("metrics: a recorder is there already");
+        log::debug!("metrics: a recorder is already installed");
     }
     handle
 }
--- a/crates/net/src/server.rs
+++ b/crates/net/src/server.rs
@@ -1,4 +1,4 @@
-//! Serving: a listener, worker threads, and one function that answers.
+//! The HTTP server: listeners, worker threads, and a service that answers requests.
 
 use std::convert::Infallible;
 use std::io;
@@ -32,13 +32,13 @@
 /// An answer.
 pub type Answer = WebResponse;
 
-/// Something that answers requests. One value serves all worker threads.
+/// Answers requests. One value serves all worker threads.
 pub trait Service: Send + Sync + 'static {
-    /// Answers one request. It is dropped when the caller goes away.
+    /// Answers one request. The future is dropped when the caller disconnects.
     fn answer(&self, head: Head, body: Incoming) -> impl Future<Output = Answer>;
 }
 
-/// A body that could not be taken.
+/// The error of a request body that was not accepted.
 #[derive(Debug, Error)]
 pub enum BodyError {
     /// It is larger than allowed.
@@ -47,7 +47,7 @@
     /// The connection broke before its end.
     #[error("the body broke off")]
     Broken,
-    /// It does not say what it should.
+    /// It is not a valid encoding of the expected message.
     #[error("the body cannot be read: {0}")]
     Invalid(String),
 }
@@ -60,12 +60,12 @@
 }
 
 impl Server {
-    /// Where it listens.
+    /// Returns the address of its first listener.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Stops it: open connections are cut.
+    /// Stops the server and cuts its open connections.
     pub fn stop(mut self) {
         self.shut_down();
     }
@@ -73,7 +73,7 @@
     fn shut_down(&mut self) {
         (self.stop)();
         if let Some(thread) = self.thread.take() {
-            // A worker that panicked has said so on standard error already.
+            // An error means that a worker panicked, which it has printed on standard error.
             let _ = thread.join();
         }
     }
@@ -85,8 +85,8 @@
     }
 }
 
-/// Idle connections are kept longer than any client of ours keeps them, so
-/// that a client never writes into one that is just being closed.
+/// How long idle connections are kept. This is longer than any client of this project keeps them, so
+/// that a client never writes to a connection that the server is closing.
 const KEEP_ALIVE: Millis = Millis(60_000);
 
 /// Serves `service` on `listener` with `workers` threads until stopped.
@@ -94,8 +94,8 @@
     serve_many(vec![listener], workers, service)
 }
 
-/// Serves `service` on several listeners with one set of threads. The `Host`
-/// header tells which one a request came to.
+/// Serves `service` on several listeners with one set of threads. The `Host` header says at which
+/// listener a request arrived.
 pub fn serve_many<S: Service>(
     listeners: Vec<TcpListener>,
     workers: usize,
@@ -117,7 +117,7 @@
     let handle = running.handle()?;
     let thread = std::thread::Builder::new().name("http-server".into()).spawn(move || {
         if let Err(error) = running.wait() {
-            log::error!("server: it ended with {error}");
+            log::error!("server: stopped with an error: {error}");
         }
     })?;
     Ok(Server { address, stop: Box::new(move || handle.stop(false)), thread: Some(thread) })
@@ -132,12 +132,12 @@
     Ok(context.state().answer(head, body).await)
 }
 
-/// How much of a body that is too large is read and thrown away. A caller that
-/// is answered while it still writes may see a broken connection instead.
+/// How much of a body that is too large is read and discarded, in bytes. A caller that is answered
+/// while it still writes may see a broken connection in place of the answer.
 const MAX_DISCARDED_BYTES: usize = 16 << 20;
 
-/// Reads what is left of a body and throws it away, up to a bound. An answer
-/// that is given while the caller still writes may be lost with the connection.
+/// Reads the rest of a body and discards it, up to a bound. An answer that is sent while the caller
+/// still writes may be lost with the connection.
 pub async fn discard_body(body: &mut RequestBody) {
     let mut read = 0;
     while let Some(Ok(frame)) = body.frame().await {
@@ -175,7 +175,7 @@
     rmp_serde::from_slice(&bytes).map_err(|error| BodyError::Invalid(error.to_string()))
 }
 
-/// An answer with a body.
+/// Returns an answer with a body.
 pub fn reply(status: StatusCode, kind: &'static str, body: impl Into<Bytes>) -> Answer {
     let mut answer = WebResponse::new(ResponseBody::bytes(body.into()));
     *answer.status_mut() = status;
@@ -183,7 +183,7 @@
     answer
 }
 
-/// An answer in MessagePack.
+/// Returns an answer in MessagePack.
 pub fn reply_message<T: Serialize>(message: &T) -> Answer {
     match rmp_serde::to_vec(message) {
         Ok(bytes) => reply(StatusCode::OK, "application/msgpack", bytes),
@@ -191,7 +191,7 @@
     }
 }
 
-/// An answer in JSON.
+/// Returns an answer in JSON.
 pub fn reply_json<T: Serialize>(status: StatusCode, message: &T) -> Answer {
     match serde_json::to_vec(message) {
         Ok(bytes) => reply(status, "application/json", bytes),
@@ -199,7 +199,7 @@
     }
 }
 
-/// An answer that says the request is malformed.
+/// Returns the answer to a request whose body was not accepted.
 pub fn reply_body_error(error: &BodyError) -> Answer {
     let status = match error {
         BodyError::TooLarge(_) => StatusCode::PAYLOAD_TOO_LARGE,
@@ -208,21 +208,21 @@
     reply(status, "text/plain", error.to_string())
 }
 
-/// An answer that says there is nothing at this path.
+/// Returns the answer to a request for an unknown path.
 pub fn reply_not_found() -> Answer {
     reply(StatusCode::NOT_FOUND, "text/plain", "there is nothing here\n")
 }
 
-/// A body fed through a channel. An error cuts the connection, so that the
-/// caller cannot take a broken answer for a whole one.
+/// A body that is fed through a channel. An error cuts the connection, so that the caller cannot mistake
+/// an incomplete answer for a complete one.
 pub struct Feed(mpsc::Receiver<Result<Bytes, Cut>>);
 
-/// The answer ends here although it is not whole.
+/// Ends an answer that is not complete.
 #[derive(Debug, Error)]
 #[error("the answer was cut")]
 pub struct Cut;
 
-/// An answer whose body is fed by the sender; it ends when the sender is dropped.
+/// Returns an answer and the sender that feeds its body. The body ends when the sender is dropped.
 pub fn reply_feed(
     status: StatusCode,
     kind: &'static str,
--- a/crates/net/src/store.rs
+++ b/crates/net/src/store.rs
@@ -1,8 +1,8 @@
 //! The client of the platform's key-value service.
 //!
-//! Every call takes from this node's part of the fleet's rate first. A write
-//! whose answer is lost is reported as [`StoreError::Unknown`]: the caller
-//! reads the key again and looks for its own proposal in it.
+//! Every call first takes a token from this node's share of the rate limit of the whole fleet. A write
+//! whose answer is lost is reported as [`StoreError::Unknown`]: the caller has to read the key again and
+//! look for its own proposal in it.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,38 +17,38 @@
 
 use crate::client::{CallError, Client};
 
-/// How long a call may take.
+/// The timeout of a call.
 const CALL_TIMEOUT: Millis = Millis(2000);
 
-/// How much longer than its own wait a watch may take.
+/// How much longer a watch may take than the wait that it asks for.
 const WATCH_SLACK: Millis = Millis(2000);
 
-/// How long a call waits for this node's part of the rate.
+/// How long a call waits for a token of this node's share of the rate limit.
 const BUDGET_TIMEOUT: Millis = Millis(3000);
 
-/// The pause before the rate is looked at again.
+/// The interval at which a waiting call tries to take a token.
 const BUDGET_POLL_INTERVAL: Millis = Millis(20);
 
-/// A store call without the result hoped for.
+/// The error of a call to the store.
 #[derive(Debug, Error)]
 pub enum StoreError {
-    /// This node has spent its part of the rate.
-    #[error("this node's part of the store's rate is spent")]
+    /// This node has used up its share of the rate limit.
+    #[error("this node's share of the store's rate limit is used up")]
     Budget,
-    /// The store did not answer; a read failed, a write surely was not sent.
+    /// The store did not answer. A read failed, and a write was certainly not sent.
     #[error("the store cannot be reached: {0}")]
     Unreachable(CallError),
     /// The store did not answer a write that may have taken effect.
-    #[error("the store did not say whether it wrote: {0}")]
+    #[error("the outcome of the write is unknown: {0}")]
     Unknown(CallError),
-    /// The store refuses calls for now.
+    /// The store rejects calls for now.
     #[error("the store is busy")]
     Busy,
-    /// The value is larger than the store takes.
-    #[error("the value has {0} bytes, more than the store takes")]
+    /// The value is larger than the store accepts.
+    #[error("the value has {0} bytes, more than the store accepts")]
     TooLarge(usize),
-    /// The answer does not fit the call.
-    #[error("the store gave an answer that does not fit")]
+    /// The answer is not of the kind that belongs to the call.
+    #[error("the answer of the store does not match the call")]
     Answer,
 }
 
@@ -57,18 +57,18 @@
 pub enum Swap {
     /// It took effect at this revision.
     Done(u64),
-    /// Another write was first; this is what is there.
+    /// The key was at another revision. Holds its current value, if any.
     Conflict(Option<Value>),
 }
 
-/// Calls to the store, by kind.
+/// The number of calls to the store, by kind.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Calls {
     /// Reads.
     pub gets: u64,
     /// Writes.
     pub swaps: u64,
-    /// Watches, each wait counted.
+    /// Watches; each wait counts as one call.
     pub watches: u64,
 }
 
@@ -88,7 +88,7 @@
 }
 
 impl Store {
-    /// A client of the store at `address`.
+    /// Returns a client of the store at `address`.
     pub fn new(address: SocketAddr, client: Client, clock: System) -> Store {
         let state = State {
             bucket: Bucket::new(1, clock.now()),
@@ -98,17 +98,17 @@
         Store { address, client, clock, state: Arc::new(Mutex::new(state)) }
     }
 
-    /// Follows the fleet's size, by which the rate is divided.
+    /// Sets the number of nodes among which the rate limit is divided.
     pub fn set_nodes(&self, nodes: usize) {
         self.state.lock().bucket.set_nodes(nodes);
     }
 
-    /// The calls made so far.
+    /// Returns the number of calls made so far.
     pub fn calls(&self) -> Calls {
         self.state.lock().calls
     }
 
-    /// Waits until this node's part of the rate allows a call.
+    /// Waits until this node's share of the rate limit allows a call, and counts the call.
     async fn acquire_budget(&self, purpose: Purpose, count: impl Fn(&mut Calls)) -> Result<(), StoreError> {
         let deadline = self.clock.now() + BUDGET_TIMEOUT;
         loop {
@@ -145,7 +145,7 @@
         }
     }
 
-    /// Writes a key if it is at revision `expect`, zero for a key that must not exist.
+    /// Writes a key if it is at revision `expect`. Zero stands for a key that must not exist.
     pub async fn swap(
         &self,
         key: &str,
@@ -167,7 +167,7 @@
         }
     }
 
-    /// Waits until a key is above a revision; none if it is not within `wait`.
+    /// Waits until the revision of a key is above `above`. Returns none if that takes longer than `wait`.
     pub async fn watch(&self, key: &str, above: u64, wait: Millis) -> Result<Option<Value>, StoreError> {
         self.acquire_budget(Purpose::Config, |calls| calls.watches += 1).await?;
         let call = Call::Watch { key: key.to_owned(), above, wait };
--- a/crates/net/src/trace.rs
+++ b/crates/net/src/trace.rs
@@ -1,4 +1,4 @@
-//! Trace context across hops, as in the W3C recommendation `traceparent`.
+//! Trace context across hops, in the `traceparent` header of the W3C recommendation Trace Context.
 
 use std::fmt;
 use std::str::FromStr;
@@ -10,31 +10,31 @@
 /// The header that carries the context.
 pub const HEADER: HeaderName = HeaderName::from_static("traceparent");
 
-/// A place in a trace: one span of one hop.
+/// One span of a trace, on one hop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Context {
     trace: u128,
     span: u64,
 }
 
-/// A header that is no trace context.
+/// The error of a header that is not a trace context.
 #[derive(Debug, Error, PartialEq, Eq)]
 #[error("not a traceparent")]
 pub struct ContextError;
 
 impl Context {
-    /// The context of a request: that of its header, or a new trace.
+    /// Returns the context in the headers of a request, or a new trace if there is no valid one.
     pub fn from_headers(headers: &HeaderMap, rng: &mut impl Rng) -> Context {
         let received = headers.get(HEADER).and_then(|value| value.to_str().ok()?.parse().ok());
         received.unwrap_or_else(|| Context { trace: rng.random(), span: rng.random() })
     }
 
-    /// A span below this one.
+    /// Returns a new span of the same trace, a child of this one.
     pub fn child(self, rng: &mut impl Rng) -> Context {
         Context { span: rng.random(), ..self }
     }
 
-    /// Puts the context into the headers of the next hop.
+    /// Inserts the context into the headers of a request to the next hop.
     pub fn insert_into(self, headers: &mut HeaderMap) {
         if let Ok(value) = HeaderValue::from_str(&self.to_string()) {
             headers.insert(HEADER, value);
