--- a/crates/node/tests/deadly.rs
+++ b/crates/node/tests/deadly.rs
@@ -17,7 +17,7 @@
 use common::{Fleet, KEY, Running};
 use cottoncrank::Millis;
 use cottoncrank_fleet::evidence::Level;
-use cottoncrank_platform_standin::caller::{Answer, Question, WAIT_MS};
+use cottoncrank_platform_standin::caller::{Answer, CallerRequest, DEFAULT_DEADLINE_MS};
 use cottoncrank_platform_standin::operator::{PLAIN, READ, STREAM};
 use cottoncrank_platform_standin::store;
 use tokio::net::{TcpListener, TcpStream};
@@ -39,8 +39,9 @@
 const DEADLY_BODY: &str = "a deadly body";
 
 async fn ask(to: SocketAddr, path: &str, request: String, body: String) -> Answer {
-    let question = Question { path, request: &request, key: KEY, wait_ms: WAIT_MS, body: &body };
-    question.ask(to).await.unwrap()
+    let question =
+        CallerRequest { path, request: &request, key: KEY, deadline_ms: DEFAULT_DEADLINE_MS, body: &body };
+    question.send(to).await.unwrap()
 }
 
 /// Sends the deadly request to all nodes in turn, together with other requests of the same route.
@@ -61,7 +62,7 @@
 /// Lists the times at which runners started the deadly request, in order.
 fn list_runs(fleet: &Fleet) -> Vec<Instant> {
     let all = fleet.engines.iter().chain(&fleet.plain);
-    let runs = all.flat_map(|runner| runner.seen()).filter(|seen| seen.run && seen.deadly);
+    let runs = all.flat_map(|runner| runner.requests()).filter(|seen| seen.executed && seen.deadly);
     let mut runs: Vec<Instant> = runs.map(|seen| seen.at).collect();
     runs.sort();
     runs
@@ -77,7 +78,7 @@
     assert!(late <= MAX_LATE_RUNS, "{} runs, {late} of them late, {crashes} runners crashed", runs.len());
     let refused = others.iter().filter(|answer| (400..500).contains(&answer.status));
     assert_eq!(refused.count(), 0, "a harmless request is treated as deadly");
-    let served = others.iter().filter(|answer| answer.status == 200 && answer.whole).count();
+    let served = others.iter().filter(|answer| answer.status == 200 && answer.complete).count();
     assert!(served >= others.len() / 2, "{served} of {} other requests are served", others.len());
 }
 
@@ -115,7 +116,7 @@
         let again = ask(running.callers, STREAM, format!("again-{number}"), DEADLY_BODY.to_owned()).await;
         assert_eq!(again.status, 400, "{again:?}");
         let other = ask(running.callers, STREAM, format!("other-{number}"), "a usual body".to_owned()).await;
-        assert_eq!((other.status, other.whole), (200, true), "{other:?}");
+        assert_eq!((other.status, other.complete), (200, true), "{other:?}");
     }
     assert_eq!(list_runs(&fleet).len(), 3);
 }
@@ -181,7 +182,7 @@
 async fn requests_in_flight_at_a_crash_are_cleared_when_they_complete() {
     let fleet = Fleet::serving(2).await;
     for engine in &fleet.engines {
-        engine.set_pace(Millis(60));
+        engine.set_event_interval(Millis(60));
     }
     let mut others = JoinSet::new();
     for number in 0..6 {
@@ -192,7 +193,7 @@
     fleet.wait("all requests run", all_started).await;
     fleet.heads()[0].crash();
     for answer in others.join_all().await {
-        assert_eq!((answer.status, answer.whole), (200, true), "{answer:?}");
+        assert_eq!((answer.status, answer.complete), (200, true), "{answer:?}");
     }
     let all_cleared = |fleet: &Fleet| {
         let tables: Vec<_> = fleet.nodes.iter().map(|running| running.node.suspects.lock()).collect();
--- a/crates/node/tests/eras.rs
+++ b/crates/node/tests/eras.rs
@@ -13,10 +13,10 @@
 use cottoncrank::Millis;
 use cottoncrank_fleet::position::Era;
 use cottoncrank_platform::store::{Commit, EraError, Store, StoreError};
-use cottoncrank_platform_standin::caller::{Question, WAIT_MS, ask};
+use cottoncrank_platform_standin::caller::{CallerRequest, DEFAULT_DEADLINE_MS, send_request};
 use cottoncrank_platform_standin::operator::{PLAIN, READ, STREAM, config};
-use cottoncrank_platform_standin::runner::{Place, Runner};
-use cottoncrank_platform_standin::store::{self, Closed, Door};
+use cottoncrank_platform_standin::runner::{Membership, Runner};
+use cottoncrank_platform_standin::store::{self, Blocked, Endpoint};
 
 /// The approximate time until runners and operators write their items again after a restore.
 const REWRITE_DELAY: Millis = Millis(1000);
@@ -26,22 +26,22 @@
 
 /// Lists the group and epoch of each open group.
 fn list_open_groups(fleet: &Fleet) -> HashSet<(String, u64)> {
-    let places = fleet.heads().into_iter().filter_map(Runner::place);
-    places.map(|Place { group, epoch, .. }| (group, epoch)).collect()
+    let places = fleet.heads().into_iter().filter_map(Runner::membership);
+    places.map(|Membership { group, epoch, .. }| (group, epoch)).collect()
 }
 
 /// Makes the runners write their entries again, as they do some time after a restore.
 async fn rewrite_entries(fleet: &Fleet) {
     tokio::time::sleep(REWRITE_DELAY.duration()).await;
     for runner in fleet.engines.iter().chain(&fleet.plain) {
-        runner.enter();
+        runner.write_entry();
     }
 }
 
 /// Asserts that no epoch was assigned to two groups.
 fn assert_unique_epochs(fleet: &Fleet) {
     let mut members_by_epoch: HashMap<u64, Vec<String>> = HashMap::new();
-    for join in fleet.engines.iter().flat_map(Runner::history).filter(|join| join.members.len() > 1) {
+    for join in fleet.engines.iter().flat_map(Runner::joins).filter(|join| join.members.len() > 1) {
         let members = members_by_epoch.entry(join.epoch).or_insert_with(|| join.members.clone());
         assert_eq!(*members, join.members, "epoch {} of {}", join.epoch, join.group);
     }
@@ -61,10 +61,10 @@
 #[tokio::test]
 async fn serving_groups_survive_a_restore_and_no_epoch_is_assigned_twice() {
     let fleet = Fleet::serving(3).await;
-    let copy = fleet.store.copy();
+    let copy = fleet.store.snapshot();
     replace_group(&fleet).await;
     let before = list_open_groups(&fleet);
-    fleet.store.go_back(&copy);
+    fleet.store.restore(&copy);
     rewrite_entries(&fleet).await;
     tokio::time::sleep(Millis(2500).duration()).await;
     assert_eq!(list_open_groups(&fleet), before, "serving groups were stopped");
@@ -77,9 +77,9 @@
 #[tokio::test]
 async fn callers_are_served_during_a_restore() {
     let fleet = Fleet::serving(3).await;
-    let copy = fleet.store.copy();
+    let copy = fleet.store.snapshot();
     replace_group(&fleet).await;
-    fleet.store.go_back(&copy);
+    fleet.store.restore(&copy);
     let mut turns = tokio::time::interval(Millis(50).duration());
     for turn in 0..60 {
         turns.tick().await;
@@ -87,20 +87,20 @@
             rewrite_entries(&fleet).await;
         }
         let node = fleet.nodes[turn % 3].callers;
-        let answer = ask(node, STREAM, &format!("r-{turn}"), KEY).await.unwrap();
-        assert_eq!((answer.status, answer.whole), (200, true), "{turn}: {answer:?}");
+        let answer = send_request(node, STREAM, &format!("r-{turn}"), KEY).await.unwrap();
+        assert_eq!((answer.status, answer.complete), (200, true), "{turn}: {answer:?}");
     }
 }
 
 #[tokio::test]
 async fn groups_are_kept_until_missing_runner_entries_are_rewritten() {
     let fleet = Fleet::bare(2).await;
-    let copy = fleet.store.copy();
+    let copy = fleet.store.snapshot();
     fleet.store.configure(&config(1, &[KEY]));
     fleet.wait("all nodes know two open groups", |fleet| fleet.all_know(2)).await;
     let before = list_open_groups(&fleet);
     // The copy contains neither the plans nor what the runners reported about their groups.
-    fleet.store.go_back(&copy);
+    fleet.store.restore(&copy);
     rewrite_entries(&fleet).await;
     fleet.store.configure(&config(1, &[KEY]));
     tokio::time::sleep(Millis(3000).duration()).await;
@@ -112,7 +112,7 @@
 #[tokio::test]
 async fn a_configuration_is_never_reverted_and_the_next_one_applies_within_the_bound() {
     let mut fleet = Fleet::serving(3).await;
-    let copy = fleet.store.copy();
+    let copy = fleet.store.snapshot();
     fleet.store.configure(&config(2, &["key-2"]));
     let has_version = |fleet: &Fleet, version: u64| {
         let is_applied = move |node: &cottoncrank_node::state::Node| {
@@ -121,15 +121,19 @@
         fleet.nodes.iter().all(|running| is_applied(&running.node))
     };
     fleet.wait("version 2 is in force", |fleet| has_version(fleet, 2)).await;
-    fleet.store.go_back(&copy);
+    fleet.store.restore(&copy);
     tokio::time::sleep(REWRITE_DELAY.duration()).await;
     for running in &fleet.nodes {
-        assert_eq!(ask(running.callers, READ, "r1", KEY).await.unwrap().status, 401, "the key was revoked");
+        assert_eq!(
+            send_request(running.callers, READ, "r1", KEY).await.unwrap().status,
+            401,
+            "the key was revoked"
+        );
     }
     // A node that starts now receives the newer configuration from the other nodes.
     fleet.add_node().await;
     fleet.wait("the new node has read the store", |fleet| fleet.nodes[3].node.is_synced()).await;
-    let answer = ask(fleet.nodes[3].callers, READ, "r2", KEY).await.unwrap();
+    let answer = send_request(fleet.nodes[3].callers, READ, "r2", KEY).await.unwrap();
     assert_ne!(answer.status, 200, "a revoked key is accepted again");
     rewrite_entries(&fleet).await;
     fleet.store.configure(&config(2, &["key-2"]));
@@ -142,13 +146,18 @@
 #[tokio::test]
 async fn deadly_requests_stay_refused_after_a_restore() {
     let fleet = Fleet::serving(2).await;
-    let copy = fleet.store.copy();
+    let copy = fleet.store.snapshot();
     let send = async |name: &str, turn: usize| {
         let request = format!("{name}-{turn}");
         let node = fleet.nodes[turn % 2].callers;
-        let question =
-            Question { path: READ, request: &request, key: KEY, wait_ms: WAIT_MS, body: "a deadly body" };
-        question.ask(node).await.unwrap()
+        let question = CallerRequest {
+            path: READ,
+            request: &request,
+            key: KEY,
+            deadline_ms: DEFAULT_DEADLINE_MS,
+            body: "a deadly body",
+        };
+        question.send(node).await.unwrap()
     };
     for turn in 0..200 {
         if send("d", turn).await.status == 400 {
@@ -158,7 +167,7 @@
     }
     let count_stored = |fleet: &Fleet| fleet.store.list("cottoncrank/suspects/").len();
     fleet.wait("the store holds the suspect", |fleet| count_stored(fleet) == 1).await;
-    fleet.store.go_back(&copy);
+    fleet.store.restore(&copy);
     rewrite_entries(&fleet).await;
     fleet.wait("the store holds the suspect again", |fleet| count_stored(fleet) == 1).await;
     for turn in 0..4 {
@@ -169,10 +178,10 @@
 #[tokio::test]
 async fn nodes_rewrite_their_entries_after_a_restore_and_only_one_decides() {
     let fleet = Fleet::bare(3).await;
-    let copy = fleet.store.copy();
+    let copy = fleet.store.snapshot();
     fleet.store.configure(&config(1, &[KEY]));
     fleet.wait("all nodes know two open groups", |fleet| fleet.all_know(2)).await;
-    fleet.store.go_back(&copy);
+    fleet.store.restore(&copy);
     rewrite_entries(&fleet).await;
     fleet.store.configure(&config(1, &[KEY]));
     let count_entries = |fleet: &Fleet| fleet.store.list("cottoncrank/node/").len();
@@ -189,18 +198,18 @@
 #[tokio::test]
 async fn callers_are_served_after_two_restores_in_a_row() {
     let fleet = Fleet::serving(3).await;
-    let oldest = fleet.store.copy();
+    let oldest = fleet.store.snapshot();
     replace_group(&fleet).await;
-    let older = fleet.store.copy();
+    let older = fleet.store.snapshot();
     replace_group(&fleet).await;
-    fleet.store.go_back(&older);
+    fleet.store.restore(&older);
     tokio::time::sleep(Millis(700).duration()).await;
-    fleet.store.go_back(&oldest);
+    fleet.store.restore(&oldest);
     rewrite_entries(&fleet).await;
     for turn in 0..30 {
         let node = fleet.nodes[turn % 3].callers;
-        let answer = ask(node, STREAM, &format!("r-{turn}"), KEY).await.unwrap();
-        assert_eq!((answer.status, answer.whole), (200, true), "{turn}: {answer:?}");
+        let answer = send_request(node, STREAM, &format!("r-{turn}"), KEY).await.unwrap();
+        assert_eq!((answer.status, answer.complete), (200, true), "{turn}: {answer:?}");
     }
     replace_group(&fleet).await;
     assert_unique_epochs(&fleet);
@@ -209,29 +218,29 @@
 #[tokio::test]
 async fn a_node_that_starts_after_a_restore_serves_in_the_new_era() {
     let fleet = Fleet::serving(1).await;
-    let copy = fleet.store.copy();
+    let copy = fleet.store.snapshot();
     replace_group(&fleet).await;
-    fleet.store.go_back(&copy);
+    fleet.store.restore(&copy);
     rewrite_entries(&fleet).await;
     let new_node = start_node(fleet.store.address(), 7, "hall-a").await;
     fleet
         .wait("the new node serves", |_| new_node.node.is_ready() && common::count_heads(&new_node.node) == 2)
         .await;
-    let answer = ask(new_node.callers, STREAM, "r1", KEY).await.unwrap();
-    assert_eq!((answer.status, answer.whole), (200, true), "{answer:?}");
+    let answer = send_request(new_node.callers, STREAM, "r1", KEY).await.unwrap();
+    assert_eq!((answer.status, answer.complete), (200, true), "{answer:?}");
 }
 
 #[tokio::test]
 async fn items_missing_from_the_copy_and_not_rewritten_are_dropped() {
     let fleet = Fleet::serving(3).await;
-    let copy = fleet.store.copy();
+    let copy = fleet.store.snapshot();
     let lost = Runner::start(&fleet.store, "p-lost", PLAIN, "hall-a", None).unwrap();
     let id = lost.id().parse().unwrap();
     let count_knowing =
         |fleet: &Fleet| fleet.nodes.iter().filter(|n| n.node.roster.lock().get(&id).is_some()).count();
     fleet.wait("all nodes know the runner", |fleet| count_knowing(fleet) == 3).await;
     lost.crash();
-    fleet.store.go_back(&copy);
+    fleet.store.restore(&copy);
     // The revision counter passes the nodes' revisions before their next poll.
     for number in 0..50 {
         fleet.store.put_bytes("op/other", format!("{number}").as_bytes());
@@ -246,7 +255,7 @@
     let lease = client.open_lease(Millis(5000)).await.unwrap();
     client.renew_lease(lease).await.unwrap();
     let read = client.read_all().await.unwrap();
-    store.go_back(&store.copy());
+    store.restore(&store.snapshot());
     // The number of the lease exists in the copy too, and may be assigned to another client.
     let watched = client.watch(read.position, Millis(0)).await;
     assert!(matches!(watched, Err(StoreError::Restored(era)) if era > read.position.era()), "{watched:?}");
@@ -263,8 +272,8 @@
 #[tokio::test]
 async fn a_node_that_starts_during_a_restore_does_not_decide_before_informed_nodes() {
     let mut fleet = Fleet::bare(0).await;
-    let copy = fleet.store.copy();
-    let doors = [Door::open(&fleet.store).unwrap(), Door::open(&fleet.store).unwrap()];
+    let copy = fleet.store.snapshot();
+    let doors = [Endpoint::open(&fleet.store).unwrap(), Endpoint::open(&fleet.store).unwrap()];
     for (number, door) in doors.iter().enumerate() {
         fleet.nodes.push(start_node(door.address(), number, "hall-a").await);
     }
@@ -276,18 +285,18 @@
     let deciding = fleet.nodes.iter().position(|running| running.node.is_deciding()).unwrap();
     fleet.nodes.remove(deciding);
     let door = &doors[1 - deciding];
-    door.set_closed(Closed::All);
-    fleet.store.go_back(&copy);
+    door.set_blocked(Blocked::All);
+    fleet.store.restore(&copy);
     fleet.store.configure(&config(1, &[KEY]));
     for runner in fleet.engines.iter().chain(&fleet.plain) {
-        runner.enter();
+        runner.write_entry();
     }
     fleet.nodes.push(start_node(fleet.store.address(), 7, "hall-a").await);
     let has_decider = |fleet: &Fleet| fleet.nodes.iter().any(|running| running.node.is_deciding());
     let mut polls_with_decider = 0;
     for poll in 0.. {
         if poll == 20 {
-            door.set_closed(Closed::Not);
+            door.set_blocked(Blocked::Nothing);
         }
         assert_eq!(list_open_groups(&fleet), before, "serving groups were stopped");
         polls_with_decider += usize::from(has_decider(&fleet));
--- a/crates/node/tests/fleet.rs
+++ b/crates/node/tests/fleet.rs
@@ -14,9 +14,9 @@
 use cottoncrank_net::client::{CallError, Client, Traffic};
 use cottoncrank_node::peer::{self, ChangeQuery, PollError};
 use cottoncrank_platform::order::{self, Reply};
-use cottoncrank_platform_standin::caller::ask;
+use cottoncrank_platform_standin::caller::send_request;
 use cottoncrank_platform_standin::operator::{STREAM, config};
-use cottoncrank_platform_standin::store::{self, Closed, Store};
+use cottoncrank_platform_standin::store::{self, Blocked, Store};
 
 #[tokio::test]
 async fn one_node_reads_the_store_and_the_others_poll_it() {
@@ -97,13 +97,13 @@
     };
     let mut version = 1;
     for door in &doors {
-        for closed in [Closed::Ranges, Closed::All] {
-            door.set_closed(closed);
+        for closed in [Blocked::Ranges, Blocked::All] {
+            door.set_blocked(closed);
             version += 1;
-            fleet.store.configure_and_forget(&config(version, &["key-1"]));
+            fleet.store.configure_and_compact(&config(version, &["key-1"]));
             fleet.wait("the change is in force on all nodes", |fleet| has_version(fleet, version)).await;
             assert!(fleet.nodes.iter().all(|running| running.node.has_current_catalog()));
-            door.set_closed(Closed::Not);
+            door.set_blocked(Blocked::Nothing);
         }
     }
 }
@@ -113,7 +113,7 @@
 #[tokio::test]
 async fn an_answer_of_the_store_that_stalls_within_its_body_times_out() {
     let fleet = Fleet::serving(2).await;
-    fleet.store.set_fault(store::Fault::Halting);
+    fleet.store.set_fault(store::Fault::WatchesStalled);
     fleet.wait("no node trusts its keys", |fleet| fleet.nodes.iter().all(|r| !r.node.trusts_keys())).await;
     fleet.store.set_fault(store::Fault::None);
     fleet.wait("the keys are trusted again", |fleet| fleet.nodes.iter().all(|r| r.node.trusts_keys())).await;
@@ -223,9 +223,9 @@
 #[tokio::test]
 async fn no_order_is_sent_for_a_plan_that_is_not_known_to_be_stored() {
     let fleet = Fleet::serving(1).await;
-    let count_joins = |fleet: &Fleet| fleet.engines.iter().map(|engine| engine.joins()).sum::<usize>();
+    let count_joins = |fleet: &Fleet| fleet.engines.iter().map(|engine| engine.count_joins()).sum::<usize>();
     let before = count_joins(&fleet);
-    fleet.store.set_fault(store::Fault::Deaf);
+    fleet.store.set_fault(store::Fault::WritesDropped);
     let head = fleet.heads()[0].id().to_owned();
     fleet.engines.iter().find(|engine| engine.id() == head).unwrap().drain();
     // Long enough for several attempts of the write, each with a timeout of 0.9 s.
@@ -242,14 +242,14 @@
     let fleet = Fleet::serving(1).await;
     let before = fleet.store.calls().ranges;
     fleet.store.configure(&config(2, &["key-2"]));
-    fleet.store.forget();
+    fleet.store.compact();
     fleet
         .wait("version 2 is in force", |fleet| {
             fleet.nodes[0].node.catalog.lock().as_ref().is_some_and(|catalog| catalog.version == 2)
         })
         .await;
     fleet.store.configure(&config(3, &["key-3"]));
-    fleet.store.forget();
+    fleet.store.compact();
     fleet.wait("the store was read completely again", |fleet| fleet.store.calls().ranges > before).await;
     fleet.wait("both groups are still open", |fleet| fleet.all_know(2)).await;
 }
@@ -349,7 +349,7 @@
         1,
         "the new node reads the list of nodes from the store, and nothing else"
     );
-    assert_eq!(ask(fleet.nodes[3].callers, STREAM, "r1", "key-1").await.unwrap().status, 200);
+    assert_eq!(send_request(fleet.nodes[3].callers, STREAM, "r1", "key-1").await.unwrap().status, 200);
 }
 
 #[tokio::test]
--- a/crates/node/tests/suspended.rs
+++ b/crates/node/tests/suspended.rs
@@ -15,7 +15,7 @@
 use common::{Fleet, KEY, count_heads, start_node};
 use cottoncrank::Millis;
 use cottoncrank_node::state::Node;
-use cottoncrank_platform_standin::caller::{Answer, ask, ask_waiting};
+use cottoncrank_platform_standin::caller::{Answer, send_request, send_request_within};
 use cottoncrank_platform_standin::operator::{ONCE, READ, STREAM, config};
 use cottoncrank_platform_standin::runner::Fault;
 use tokio::sync::mpsc::{UnboundedSender, unbounded_channel};
@@ -100,21 +100,21 @@
 }
 
 fn assert_served(answer: &Answer) {
-    assert_eq!((answer.status, answer.whole), (200, true), "{answer:?}");
+    assert_eq!((answer.status, answer.complete), (200, true), "{answer:?}");
 }
 
 #[tokio::test]
 async fn a_request_past_its_deadline_is_answered_as_soon_as_the_box_resumes() {
     let (fleet, boxes) = start_serving(1).await;
     for runner in &fleet.plain {
-        runner.set_fault(Fault::Mute);
+        runner.set_fault(Fault::NoAnswer);
     }
     let started = Instant::now();
     let suspension = async {
         fleet.wait("the request runs", |fleet| fleet.runs("r1") == 1).await;
         boxes[0].suspend(3.0);
     };
-    let (answer, ()) = tokio::join!(ask_waiting(boxes[0].callers, ONCE, "r1", KEY, 2500), suspension);
+    let (answer, ()) = tokio::join!(send_request_within(boxes[0].callers, ONCE, "r1", KEY, 2500), suspension);
     let answer = answer.unwrap();
     assert_eq!(answer.status, 504, "{answer:?}");
     let elapsed = started.elapsed();
@@ -125,18 +125,18 @@
 async fn a_request_past_its_deadline_is_not_retried_on_another_runner() {
     let (fleet, boxes) = start_serving(1).await;
     for runner in &fleet.plain {
-        runner.set_fault(Fault::Mute);
+        runner.set_fault(Fault::NoAnswer);
     }
     let suspension = async {
         fleet.wait("the request runs", |fleet| fleet.runs("r1") == 1).await;
         boxes[0].suspend(2.0);
         sleep_seconds(0.5).await;
         // The runner crashes during the suspension, so the node finds its attempt failed on resuming.
-        for runner in fleet.plain.iter().filter(|runner| !runner.seen().is_empty()) {
+        for runner in fleet.plain.iter().filter(|runner| !runner.requests().is_empty()) {
             runner.crash();
         }
     };
-    let (answer, ()) = tokio::join!(ask_waiting(boxes[0].callers, READ, "r1", KEY, 1500), suspension);
+    let (answer, ()) = tokio::join!(send_request_within(boxes[0].callers, READ, "r1", KEY, 1500), suspension);
     assert_eq!(answer.unwrap().status, 504);
     sleep_seconds(0.3).await;
     assert_eq!(fleet.runs("r1"), 1);
@@ -145,17 +145,17 @@
 #[tokio::test]
 async fn a_key_revoked_during_a_suspension_is_refused_after_it() {
     let (fleet, boxes) = start_serving(1).await;
-    assert_served(&ask(boxes[0].callers, READ, "r0", KEY).await.unwrap());
+    assert_served(&send_request(boxes[0].callers, READ, "r0", KEY).await.unwrap());
     boxes[0].suspend(6.5);
     sleep_seconds(0.3).await;
     fleet.store.configure(&config(2, &["key-2"]));
     // This exceeds the bound on revoked keys. The node finds the request on resuming.
     sleep_seconds(5.7).await;
-    let answer = ask(boxes[0].callers, READ, "r1", KEY).await.unwrap();
+    let answer = send_request(boxes[0].callers, READ, "r1", KEY).await.unwrap();
     assert!([401, 503].contains(&answer.status), "{answer:?}");
     assert_eq!(fleet.runs("r1"), 0);
     fleet.wait("the node knows the new key", |_| boxes[0].node.is_ready()).await;
-    assert_served(&ask(boxes[0].callers, READ, "r2", "key-2").await.unwrap());
+    assert_served(&send_request(boxes[0].callers, READ, "r2", "key-2").await.unwrap());
 }
 
 #[tokio::test]
@@ -166,8 +166,8 @@
     fleet.store.configure(&config(2, &[KEY, "key-2"]));
     sleep_seconds(4.5).await;
     let (key, route) = tokio::join!(
-        ask(boxes[0].callers, READ, "r1", "key-2"),
-        ask(boxes[0].callers, "/not-known-yet/", "r2", KEY)
+        send_request(boxes[0].callers, READ, "r1", "key-2"),
+        send_request(boxes[0].callers, "/not-known-yet/", "r2", KEY)
     );
     for answer in [key.unwrap(), route.unwrap()] {
         assert!(answer.status == 503 || answer.status == 200, "{answer:?}");
@@ -198,7 +198,7 @@
     fleet.wait("two groups serve", |fleet| fleet.all_know(2) && fleet.heads().len() == 2).await;
     // Joins of one member are left out: each new decider orders an idle runner to load again.
     let list_joins = |fleet: &Fleet| -> Vec<(String, u64)> {
-        let all = fleet.engines.iter().flat_map(|engine| engine.history());
+        let all = fleet.engines.iter().flat_map(|engine| engine.joins());
         let all = all.filter(|join| join.members.len() > 1);
         all.map(|join| (join.group, join.epoch)).collect()
     };
@@ -211,7 +211,7 @@
 async fn a_stream_continues_when_the_box_is_suspended_in_the_middle_of_it() {
     let (fleet, boxes) = start_serving(1).await;
     for engine in &fleet.engines {
-        engine.set_pace(Millis(150));
+        engine.set_event_interval(Millis(150));
     }
     for seconds in [0.3, 2.0] {
         let request = format!("r-{seconds}");
@@ -220,7 +220,7 @@
             sleep_seconds(0.2).await;
             boxes[0].suspend(seconds);
         };
-        let (answer, ()) = tokio::join!(ask(boxes[0].callers, STREAM, &request, KEY), suspension);
+        let (answer, ()) = tokio::join!(send_request(boxes[0].callers, STREAM, &request, KEY), suspension);
         assert_served(&answer.unwrap());
         assert_eq!(fleet.runs(&request), 1, "the request ran a second time");
     }
@@ -235,14 +235,16 @@
         let active = boxes[(turn + 2) % 3].callers;
         for number in 0..3 {
             let started = Instant::now();
-            assert_served(&ask(active, STREAM, &format!("s-{turn}-{number}"), KEY).await.unwrap());
-            assert_served(&ask(active, READ, &format!("p-{turn}-{number}"), KEY).await.unwrap());
+            assert_served(&send_request(active, STREAM, &format!("s-{turn}-{number}"), KEY).await.unwrap());
+            assert_served(&send_request(active, READ, &format!("p-{turn}-{number}"), KEY).await.unwrap());
             assert!(started.elapsed() < Duration::from_secs(1), "{:?}", started.elapsed());
         }
         sleep_seconds(0.3).await;
     }
     for (number, suspendable) in boxes.iter().enumerate() {
-        assert_served(&ask(suspendable.callers, STREAM, &format!("end-{number}"), KEY).await.unwrap());
+        assert_served(
+            &send_request(suspendable.callers, STREAM, &format!("end-{number}"), KEY).await.unwrap(),
+        );
     }
     assert_served(&fleet.ask(STREAM, "end").await);
 }
