--- a/crates/node/tests/common/mod.rs
+++ b/crates/node/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! A fleet on loopback: nodes, the platform's stand-ins, and a caller.
+//! A fleet on the loopback interface: nodes, stand-ins for the platform, and a caller.
 
-#![allow(dead_code, reason = "each test file uses a part of this module")]
+#![allow(dead_code, reason = "each test file uses only a part of this module")]
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,13 +17,13 @@
 use tokio::net::TcpListener;
 use tokio::task::JoinSet;
 
-/// The key of the account in force.
+/// The API key of the configured client account.
 pub const KEY: &str = "key-1";
 
-/// How long a state that must come is waited for. It is never a measure.
-const LONG: Millis = Millis(30_000);
+/// The time after which [`Fleet::wait`] fails. It bounds a hanging test and is no limit under test.
+const WAIT_TIMEOUT: Millis = Millis(30_000);
 
-/// A running node.
+/// A running node with its listener addresses and tasks.
 pub struct Running {
     pub node: Arc<Node>,
     pub callers: SocketAddr,
@@ -31,7 +31,7 @@
     pub tasks: JoinSet<()>,
 }
 
-/// A fleet.
+/// A store, nodes and runners, all in the process of the test.
 pub struct Fleet {
     pub store: Store,
     pub nodes: Vec<Running>,
@@ -39,13 +39,15 @@
     pub plain: Vec<Runner>,
 }
 
-/// How many requests a fleet may send again beyond a part of all, and in which window.
-const SLACK: f64 = 100.0;
-const WINDOW: Millis = Millis(10_000);
+/// The number of retries that a fleet may make per window, in addition to a share of all requests.
+const RETRY_SLACK: f64 = 100.0;
 
-/// Starts a node in the runtime of the caller.
+/// The window in which retries are counted.
+const RETRY_WINDOW: Millis = Millis(10_000);
+
+/// Starts a node in the current runtime.
 pub async fn start_node(store: SocketAddr, number: usize, hall: &str) -> Running {
-    start_node_with(store, number, hall, SLACK, WINDOW).await
+    start_node_with(store, number, hall, RETRY_SLACK, RETRY_WINDOW).await
 }
 
 async fn start_node_with(
@@ -85,19 +87,20 @@
     Running { node, callers, ready, tasks }
 }
 
-/// How many groups that take requests a node knows.
+/// Returns the number of groups known to a node that take requests.
 pub fn count_heads(node: &Node) -> usize {
     let (service, model) = (ENGINES.parse().unwrap(), "m1".parse().unwrap());
     node.roster.lock().list_heads(&service, &model, &node.plans.lock()).len()
 }
 
 impl Fleet {
-    /// Nodes, five engines in one domain: two groups and one that stands by, two plain runners; no configuration yet.
-    pub async fn bare(nodes: usize) -> Fleet {
+    /// Starts a fleet without configuration: nodes in one hall, two plain runners, and five engines in one
+    /// fabric domain, enough for two groups and one spare engine.
+    pub async fn unconfigured(nodes: usize) -> Fleet {
         Fleet::in_halls(&vec!["hall-a"; nodes]).await
     }
 
-    /// The same, with a node in each of these halls.
+    /// Starts the same fleet as [`Fleet::unconfigured`], with one node for each of the halls.
     pub async fn in_halls(halls: &[&str]) -> Fleet {
         let store = Store::start().unwrap();
         let engine = |n| Runner::start(&store, &format!("e-{n}"), ENGINES, "hall-a", Some("d1")).unwrap();
@@ -110,9 +113,9 @@
         Fleet { store, nodes: running, engines, plain }
     }
 
-    /// The same, configured and serving, where the fleet may send few requests again in a second.
-    pub async fn with_slack(nodes: usize, slack: f64) -> Fleet {
-        let mut fleet = Fleet::bare(0).await;
+    /// Starts a configured fleet that serves, with `slack` retries per second for the whole fleet.
+    pub async fn with_retry_slack(nodes: usize, slack: f64) -> Fleet {
+        let mut fleet = Fleet::unconfigured(0).await;
         for number in 0..nodes {
             let store = fleet.store.address();
             fleet.nodes.push(start_node_with(store, number, "hall-a", slack, Millis(1000)).await);
@@ -122,17 +125,17 @@
         fleet
     }
 
-    /// The same, configured and serving.
+    /// Starts a configured fleet, and returns once all nodes know two open groups.
     pub async fn serving(nodes: usize) -> Fleet {
-        let fleet = Fleet::bare(nodes).await;
+        let fleet = Fleet::unconfigured(nodes).await;
         fleet.store.configure(&config(1, &[KEY]));
         fleet.wait("all nodes know two open groups", |fleet| fleet.all_know(2)).await;
         fleet
     }
 
-    /// Nodes of one hall, each with its own way to the store, configured and serving.
+    /// Starts a configured fleet that serves, in which each node reaches the store through its own door.
     pub async fn behind_doors(nodes: usize) -> (Fleet, Vec<Door>) {
-        let mut fleet = Fleet::bare(0).await;
+        let mut fleet = Fleet::unconfigured(0).await;
         let doors: Vec<Door> = (0..nodes).map(|_| Door::open(&fleet.store).unwrap()).collect();
         for (number, door) in doors.iter().enumerate() {
             fleet.nodes.push(start_node(door.address(), number, "hall-a").await);
@@ -142,43 +145,43 @@
         (fleet, doors)
     }
 
-    /// One more node of the first hall.
+    /// Starts one more node in the hall `hall-a`.
     pub async fn add_node(&mut self) {
         let number = self.nodes.len();
         self.nodes.push(start_node(self.store.address(), number, "hall-a").await);
     }
 
-    /// Whether every node that runs knows that many groups which take requests.
+    /// Whether every running node knows exactly `groups` groups that take requests.
     pub fn all_know(&self, groups: usize) -> bool {
         self.nodes.iter().all(|running| count_heads(&running.node) == groups)
     }
 
-    /// Waits for a state that must come.
+    /// Waits until `holds` returns true, and panics with `what` after [`WAIT_TIMEOUT`].
     pub async fn wait(&self, what: &str, mut holds: impl FnMut(&Fleet) -> bool) {
-        let end = self.nodes[0].node.now() + LONG;
+        let deadline = self.nodes[0].node.now() + WAIT_TIMEOUT;
         while !holds(self) {
-            assert!(self.nodes[0].node.now() < end, "it did not come to this: {what}");
+            assert!(self.nodes[0].node.now() < deadline, "timed out waiting for: {what}");
             tokio::time::sleep(Millis(20).duration()).await;
         }
     }
 
-    /// Asks the first node.
+    /// Sends a request with [`KEY`] to the first node.
     pub async fn ask(&self, path: &str, request: &str) -> Answer {
         self.ask_with(path, request, KEY).await
     }
 
-    /// Asks the first node with a key.
+    /// Sends a request with this key to the first node.
     pub async fn ask_with(&self, path: &str, request: &str, key: &str) -> Answer {
         ask(self.nodes[0].callers, path, request, key).await.unwrap()
     }
 
-    /// The heads of open groups.
+    /// Returns the heads of open groups.
     pub fn heads(&self) -> Vec<&Runner> {
         self.engines.iter().filter(|engine| engine.is_open()).collect()
     }
 
-    /// How often a request was run, over all runners.
-    pub fn runs(&self, request: &str) -> usize {
+    /// Returns how often a request was run, over all runners.
+    pub fn count_runs(&self, request: &str) -> usize {
         let all = self.engines.iter().chain(&self.plain);
         all.flat_map(Runner::seen).filter(|seen| seen.run && seen.request == request).count()
     }
--- a/crates/node/tests/deadly.rs
+++ b/crates/node/tests/deadly.rs
@@ -181,7 +181,7 @@
         let node = fleet.nodes[number % 2].callers;
         others.spawn(ask(node, STREAM, format!("o-{number}"), format!("usual {number}")));
     }
-    let ran = |fleet: &Fleet| (0..6).all(|number| fleet.runs(&format!("o-{number}")) > 0);
+    let ran = |fleet: &Fleet| (0..6).all(|number| fleet.count_runs(&format!("o-{number}")) > 0);
     fleet.wait("all run", ran).await;
     fleet.heads()[0].crash();
     for answer in others.join_all().await {
--- a/crates/node/tests/eras.rs
+++ b/crates/node/tests/eras.rs
@@ -92,7 +92,7 @@
 
 #[tokio::test]
 async fn a_runner_whose_entry_is_missing_is_waited_for() {
-    let fleet = Fleet::bare(2).await;
+    let fleet = Fleet::unconfigured(2).await;
     let copy = fleet.store.copy();
     fleet.store.configure(&config(1, &[KEY]));
     fleet.wait("all nodes know two open groups", |fleet| fleet.all_know(2)).await;
@@ -166,7 +166,7 @@
 
 #[tokio::test]
 async fn nodes_are_found_again_and_only_one_decides() {
-    let fleet = Fleet::bare(3).await;
+    let fleet = Fleet::unconfigured(3).await;
     let copy = fleet.store.copy();
     fleet.store.configure(&config(1, &[KEY]));
     fleet.wait("all nodes know two open groups", |fleet| fleet.all_know(2)).await;
@@ -256,7 +256,7 @@
 
 #[tokio::test]
 async fn a_node_that_starts_just_then_does_not_decide_before_those_that_know() {
-    let mut fleet = Fleet::bare(0).await;
+    let mut fleet = Fleet::unconfigured(0).await;
     let copy = fleet.store.copy();
     let doors = [Door::open(&fleet.store).unwrap(), Door::open(&fleet.store).unwrap()];
     for (number, door) in doors.iter().enumerate() {
--- a/crates/node/tests/failed.rs
+++ b/crates/node/tests/failed.rs
@@ -33,7 +33,7 @@
 /// With more nodes than retries no node has one of its own: the collector lends them.
 #[tokio::test]
 async fn a_node_without_a_retry_of_its_own_is_lent_one() {
-    let fleet = Fleet::with_slack(3, 2.0).await;
+    let fleet = Fleet::with_retry_slack(3, 2.0).await;
     fleet.plain[0].set_fault(Fault::Foreign);
     fleet
         .wait("all nodes know each other", |fleet| {
--- a/crates/node/tests/fleet.rs
+++ b/crates/node/tests/fleet.rs
@@ -123,12 +123,12 @@
     node.record_contact(node.now());
     assert!(!node.has_current_catalog());
     let answer = fleet.ask("/nowhere/", "r1").await;
-    assert_eq!((answer.status, fleet.runs("r1")), (503, 0));
+    assert_eq!((answer.status, fleet.count_runs("r1")), (503, 0));
 }
 
 #[tokio::test]
 async fn saved_up_retries_are_shared_by_the_nodes_there_are() {
-    let fleet = Fleet::bare(4).await;
+    let fleet = Fleet::unconfigured(4).await;
     fleet
         .wait("all nodes know each other", |fleet| {
             fleet.nodes.iter().all(|running| running.node.directory.lock().count() == 4)
--- a/crates/node/tests/foreign.rs
+++ b/crates/node/tests/foreign.rs
@@ -34,7 +34,7 @@
         assert!(knows(&fleet, fleet.plain[1].id()).iter().all(|known| *known), "{kind}: another one is lost");
         let request = format!("r{at}");
         assert_eq!(fleet.ask(READ, &request).await.status, 200, "{kind}");
-        assert_eq!(fleet.runs(&request), 1, "{kind}");
+        assert_eq!(fleet.count_runs(&request), 1, "{kind}");
         fleet.plain[0].enter();
         fleet.wait("it is back", |fleet| knows(fleet, &plain).iter().all(|known| *known)).await;
     }
@@ -140,7 +140,7 @@
 
 #[tokio::test]
 async fn a_lease_key_that_goes_with_no_lease_is_no_ones() {
-    let fleet = Fleet::bare(2).await;
+    let fleet = Fleet::unconfigured(2).await;
     fleet.store.put_bytes("cottoncrank/decider", b"node-77");
     fleet.store.configure(&config(1, &[KEY]));
     fleet
--- a/crates/node/tests/lives.rs
+++ b/crates/node/tests/lives.rs
@@ -59,7 +59,7 @@
         runner.set_fault(runner::Fault::Mute);
     }
     let restart = async {
-        fleet.wait("it runs", |fleet| fleet.runs("r1") == 1).await;
+        fleet.wait("it runs", |fleet| fleet.count_runs("r1") == 1).await;
         for runner in &fleet.plain {
             runner.set_fault(runner::Fault::None);
             runner.restart();
@@ -67,7 +67,7 @@
     };
     let (answer, ()) = tokio::join!(fleet.ask(ONCE, "r1"), restart);
     assert_eq!(answer.status, 502, "it may have run: {answer:?}");
-    assert_eq!(fleet.runs("r1"), 1);
+    assert_eq!(fleet.count_runs("r1"), 1);
     fleet.wait("the runners are used again", |fleet| life(fleet, &fleet.plain[0])[0].is_some()).await;
     assert_eq!(fleet.ask(ONCE, "r2").await.status, 200);
     assert_eq!(fleet.ask(READ, "r3").await.status, 200);
@@ -80,7 +80,7 @@
         engine.set_pace(cottoncrank::Millis(100));
     }
     let restart = async {
-        fleet.wait("it runs", |fleet| fleet.runs("r1") == 1).await;
+        fleet.wait("it runs", |fleet| fleet.count_runs("r1") == 1).await;
         let ran = |head: &&Runner| head.seen().iter().any(|seen| seen.request == "r1");
         let heads = fleet.heads();
         heads.into_iter().find(ran).unwrap().restart();
--- a/crates/node/tests/requests.rs
+++ b/crates/node/tests/requests.rs
@@ -33,7 +33,7 @@
 
 #[tokio::test]
 async fn a_node_without_configuration_refuses_what_it_cannot_judge() {
-    let fleet = Fleet::bare(1).await;
+    let fleet = Fleet::unconfigured(1).await;
     let answer = fleet.ask(STREAM, "r1").await;
     assert_eq!(answer.status, 503, "{answer:?}");
     assert!(answer.header("retry-after").is_some());
@@ -45,7 +45,7 @@
     let fleet = Fleet::serving(1).await;
     assert_eq!(fleet.ask("/nowhere/", "r1").await.status, 404);
     assert_eq!(fleet.ask_with(READ, "r2", "stolen").await.status, 401);
-    assert_eq!(fleet.runs("r1") + fleet.runs("r2"), 0);
+    assert_eq!(fleet.count_runs("r1") + fleet.count_runs("r2"), 0);
 }
 
 #[tokio::test]
@@ -61,7 +61,7 @@
             let answer = fleet.ask(STREAM, &request).await;
             assert_eq!((answer.status, answer.whole), (200, true), "{answer:?}");
             assert_eq!(answer.events(), all_events(), "broken within event {at}");
-            if fleet.runs(&request) == 2 {
+            if fleet.count_runs(&request) == 2 {
                 break;
             }
             assert!(turn < 39, "the broken group was never picked");
@@ -80,7 +80,7 @@
         let answer = fleet.ask(ONCE, &request).await;
         assert_eq!(answer.status, 502, "{fault:?}: it may have run, and 503 would deny that: {answer:?}");
         assert!(!answer.is_signed(&request));
-        assert_eq!(fleet.runs(&request), 1, "{fault:?}: it must not run twice");
+        assert_eq!(fleet.count_runs(&request), 1, "{fault:?}: it must not run twice");
     }
 }
 
@@ -107,7 +107,7 @@
     let answer = fleet.ask(ONCE, "r1").await;
     assert_eq!(answer.status, 503, "{answer:?}");
     assert!(answer.header("retry-after").is_some());
-    assert_eq!(fleet.runs("r1"), 0);
+    assert_eq!(fleet.count_runs("r1"), 0);
 }
 
 #[tokio::test]
@@ -176,7 +176,7 @@
     fleet.wait("no node trusts its keys", |fleet| fleet.nodes.iter().all(|r| !r.node.trusts_keys())).await;
     let answer = fleet.ask(READ, "r2").await;
     assert_eq!(answer.status, 503, "{answer:?}");
-    assert_eq!(fleet.runs("r2"), 0);
+    assert_eq!(fleet.count_runs("r2"), 0);
     assert!(!ask_ready(fleet.nodes[0].ready).await.unwrap());
     fleet.store.set_fault(store::Fault::None);
     fleet.wait("the keys are trusted again", |fleet| fleet.nodes.iter().all(|r| r.node.trusts_keys())).await;
@@ -196,7 +196,7 @@
     assert_eq!(fleet.ask(READ, "r2").await.status, 200);
     // A newer configuration, which this node cannot know of, may have the key or the route.
     assert_eq!(fleet.ask_with(READ, "r3", "key-unknown").await.status, 503);
-    assert_eq!(fleet.runs("r3"), 0);
+    assert_eq!(fleet.count_runs("r3"), 0);
     assert_eq!(fleet.ask("/nowhere/", "r4").await.status, 503);
     assert!(ask_ready(fleet.nodes[0].ready).await.unwrap());
 }
@@ -225,7 +225,7 @@
         let answer = fleet.ask(STREAM, request).await;
         assert_eq!(answer.status, 503, "{answer:?}");
         assert!(answer.header("retry-after").is_some());
-        assert_eq!(fleet.runs(request), 0);
+        assert_eq!(fleet.count_runs(request), 0);
     };
     // The limit of this node is reached, and each slot of both groups is taken twice.
     let lane = ("engines".parse().unwrap(), Some("m1".parse().unwrap()));
@@ -290,7 +290,7 @@
 
 #[tokio::test]
 async fn a_request_waits_while_the_node_reads_the_store_for_the_first_time() {
-    let fleet = Fleet::bare(1).await;
+    let fleet = Fleet::unconfigured(1).await;
     let node = &fleet.nodes[0].node;
     fleet.wait("the store is read", |_| node.is_synced()).await;
     // A node that has read it does not wait for what is not there.
@@ -332,7 +332,7 @@
     for request in ["r1", "r2", "r3"] {
         assert_eq!(fleet.ask(STREAM, request).await.status, 200);
     }
-    assert_eq!(fleet.runs("r1") + fleet.runs("r2") + fleet.runs("r3"), 3);
+    assert_eq!(fleet.count_runs("r1") + fleet.count_runs("r2") + fleet.count_runs("r3"), 3);
 }
 
 #[tokio::test]
--- a/crates/node/tests/suspended.rs
+++ b/crates/node/tests/suspended.rs
@@ -81,7 +81,7 @@
 
 /// A fleet of which all nodes are such boxes, configured and serving.
 async fn serving(nodes: usize) -> (Fleet, Vec<Sleeper>) {
-    let mut fleet = Fleet::bare(0).await;
+    let mut fleet = Fleet::unconfigured(0).await;
     let boxes: Vec<Sleeper> =
         (0..nodes).map(|number| Sleeper::start(fleet.store.address(), number, "hall-a")).collect();
     // One that is never suspended, and tells the test of the time.
@@ -111,7 +111,7 @@
     }
     let begun = Instant::now();
     let sleep = async {
-        fleet.wait("it runs", |fleet| fleet.runs("r1") == 1).await;
+        fleet.wait("it runs", |fleet| fleet.count_runs("r1") == 1).await;
         boxes[0].suspend(3.0);
     };
     let (answer, ()) = tokio::join!(ask_waiting(boxes[0].callers, ONCE, "r1", KEY, 2500), sleep);
@@ -128,7 +128,7 @@
         runner.set_fault(Fault::Mute);
     }
     let sleep = async {
-        fleet.wait("it runs", |fleet| fleet.runs("r1") == 1).await;
+        fleet.wait("it runs", |fleet| fleet.count_runs("r1") == 1).await;
         boxes[0].suspend(2.0);
         pause(0.5).await;
         // The runner ends meanwhile: the node finds its try broken off when it wakes.
@@ -139,7 +139,7 @@
     let (answer, ()) = tokio::join!(ask_waiting(boxes[0].callers, READ, "r1", KEY, 1500), sleep);
     assert_eq!(answer.unwrap().status, 504);
     pause(0.3).await;
-    assert_eq!(fleet.runs("r1"), 1);
+    assert_eq!(fleet.count_runs("r1"), 1);
 }
 
 #[tokio::test]
@@ -153,7 +153,7 @@
     pause(5.7).await;
     let answer = ask(boxes[0].callers, READ, "r1", KEY).await.unwrap();
     assert!([401, 503].contains(&answer.status), "{answer:?}");
-    assert_eq!(fleet.runs("r1"), 0);
+    assert_eq!(fleet.count_runs("r1"), 0);
     fleet.wait("it knows the new key", |_| boxes[0].node.is_ready()).await;
     assert_served(&ask(boxes[0].callers, READ, "r2", "key-2").await.unwrap());
 }
@@ -215,13 +215,13 @@
     for seconds in [0.3, 2.0] {
         let request = format!("r-{seconds}");
         let sleep = async {
-            fleet.wait("it runs", |fleet| fleet.runs(&request) == 1).await;
+            fleet.wait("it runs", |fleet| fleet.count_runs(&request) == 1).await;
             pause(0.2).await;
             boxes[0].suspend(seconds);
         };
         let (answer, ()) = tokio::join!(ask(boxes[0].callers, STREAM, &request, KEY), sleep);
         assert_served(&answer.unwrap());
-        assert_eq!(fleet.runs(&request), 1, "it did not run a second time");
+        assert_eq!(fleet.count_runs(&request), 1, "it did not run a second time");
     }
 }
 
