--- a/crates/node/tests/feed.rs
+++ b/crates/node/tests/feed.rs
@@ -1,15 +1,14 @@
-//! A store that had forgotten its history set nearly a thousand nodes back by seconds: a
-//! configuration acked at 1.7 s was not in force 6.5 s later in two halls of five, and their callers
-//! were refused until the end of the day.
+//! Change polls after the store has compacted its history.
 //!
-//! The cause: a node that had read the store anew no longer knew what had changed since some
-//! position, so it gave everything it held to each node that asked, a megabyte each. Small boxes
-//! took seconds to send and to take that in, questions were given up meanwhile and asked again
-//! elsewhere, and whoever got no answer read the whole store itself. Changes were kept in a list of
-//! a fixed length as well, so that a start of all runners had the same effect.
+//! The failure: nearly a thousand nodes fell seconds behind. A configuration acknowledged at 1.7 s was not
+//! in force 6.5 s later in two halls of five, whose callers were rejected until the end of the day. A node
+//! that had read the whole store again no longer knew what had changed since a position, so it answered
+//! each change poll with its whole content, a megabyte each. Small boxes took seconds to send and to
+//! process that, polls timed out and were retried at other nodes, and nodes without an answer read the
+//! whole store. A change list of fixed length overflowed in the same way when all runners started.
 //!
-//! Now each key is kept with its last change, also when it is gone: a node that is behind gets what
-//! has changed, each key once, whatever the store or this node had to read anew.
+//! The feed therefore keeps the last change of each key, with tombstones for removed keys: a node that is
+//! behind gets each changed key once, even if the store or the polled node had to read everything again.
 
 use std::collections::BTreeMap;
 
@@ -21,7 +20,7 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-/// Runners, nodes and plans of the largest fleet, twice over.
+/// Twice the number of runners, nodes and plans of the largest fleet.
 const ITEMS: usize = 8400;
 
 fn at(revision: usize) -> Position {
@@ -41,121 +40,121 @@
     Batch { items, position: at(revision) }
 }
 
-/// A feed of a node that has read all of them at that revision.
+/// Fills the feed with a whole read of [`ITEMS`] items at this revision.
 fn read_whole(feed: &Feed, revision: usize) {
     feed.replace(&batch((0..ITEMS).map(|number| item(number, number + 1)).collect(), revision));
 }
 
-/// The numbers of the items of an answer.
-fn list_numbers(news: &Changes) -> Vec<String> {
-    news.items.iter().map(|raw| raw.key.trim_start_matches("servers/i-").to_owned()).collect()
+/// Returns the numbers of the items of a change batch.
+fn list_numbers(changes: &Changes) -> Vec<String> {
+    changes.items.iter().map(|raw| raw.key.trim_start_matches("servers/i-").to_owned()).collect()
 }
 
 #[test]
-fn whoever_is_behind_a_forgotten_history_gets_what_changed_and_no_more() {
+fn a_node_behind_a_compacted_history_gets_only_what_changed() {
     let feed = Feed::default();
     read_whole(&feed, ITEMS);
-    // While the history was forgotten one item changed, two went and one came.
+    // In the compacted part of the history one item changed, two were removed and one was added.
     let mut items: Vec<RawItem> = (0..ITEMS - 2).map(|number| item(number, number + 1)).collect();
     items[7] = item(7, ITEMS + 1);
     items.push(item(ITEMS, ITEMS + 2));
     feed.replace(&batch(items, ITEMS + 9));
-    let news = feed.read(Some(at(ITEMS))).unwrap();
-    assert!(!news.whole, "a node that is behind by a second gets all {} items", news.items.len());
-    let mut numbers = list_numbers(&news);
+    let changes = feed.read(Some(at(ITEMS))).unwrap();
+    assert!(!changes.whole, "a node that is one second behind gets all {} items", changes.items.len());
+    let mut numbers = list_numbers(&changes);
     numbers.sort();
     let wanted = [7, ITEMS - 2, ITEMS - 1, ITEMS].map(|number| number.to_string());
-    assert_eq!(numbers, wanted, "what changed, went and came");
-    let left = news.items.iter().filter(|raw| raw.value.is_none()).count();
-    assert_eq!((left, news.position), (2, at(ITEMS + 9)));
+    assert_eq!(numbers, wanted, "items that were changed, removed and added");
+    let removed = changes.items.iter().filter(|raw| raw.value.is_none()).count();
+    assert_eq!((removed, changes.position), (2, at(ITEMS + 9)));
 }
 
 #[test]
-fn each_key_is_told_once_however_often_it_has_changed() {
+fn a_key_that_changed_many_times_is_sent_once() {
     let feed = Feed::default();
     read_whole(&feed, ITEMS);
     for revision in ITEMS..3 * ITEMS {
         feed.extend(&batch(vec![item(revision % 100, revision + 1)], revision + 1));
     }
-    let news = feed.read(Some(at(ITEMS))).unwrap();
-    assert!(!news.whole, "a node that missed {} changes gets everything", 2 * ITEMS);
-    assert_eq!(news.items.len(), 100, "keys that have changed");
-    assert!(news.items.is_sorted_by_key(|raw| raw.position), "in the order of their last changes");
+    let changes = feed.read(Some(at(ITEMS))).unwrap();
+    assert!(!changes.whole, "a node that missed {} changes gets everything", 2 * ITEMS);
+    assert_eq!(changes.items.len(), 100, "changed keys");
+    assert!(changes.items.is_sorted_by_key(|raw| raw.position), "in the order of their last changes");
 }
 
 #[test]
-fn keys_that_are_gone_are_remembered_as_long_as_there_are_fewer_of_them_than_items() {
+fn tombstones_are_kept_as_long_as_there_are_no_more_of_them_than_items() {
     let feed = Feed::default();
     read_whole(&feed, ITEMS);
     let mut revision = ITEMS;
-    // Runners that start again leave one key for good each.
+    // Each restart of a runner leaves one key that is never used again.
     for number in 0..3 * ITEMS {
         revision += 1;
         feed.extend(&batch(vec![gone(number, revision), item(number + ITEMS, revision)], revision));
         if number + 1 == ITEMS {
-            let news = feed.read(Some(at(ITEMS))).unwrap();
-            assert!(!news.whole && news.items.len() == 2 * ITEMS, "one new life of every runner");
+            let changes = feed.read(Some(at(ITEMS))).unwrap();
+            assert!(!changes.whole && changes.items.len() == 2 * ITEMS, "one new incarnation each");
         }
     }
-    assert!(feed.read(Some(at(ITEMS))).unwrap().whole, "what is behind by more gets everything");
+    assert!(feed.read(Some(at(ITEMS))).unwrap().whole, "a node that is further behind gets everything");
     let all = feed.read(None).unwrap().items;
     assert!(all.len() == ITEMS && all.iter().all(|raw| raw.value.is_some()), "{} items", all.len());
 }
 
 #[test]
-fn positions_of_another_era_say_nothing() {
+fn a_position_of_another_era_gets_everything() {
     let feed = Feed::default();
     read_whole(&feed, ITEMS);
     let position = Position::new(Era(2), 5);
     feed.replace(&Batch { items: vec![RawItem { position, ..item(1, 1) }], position });
-    let news = feed.read(Some(at(ITEMS))).unwrap();
-    assert!(news.whole && news.items.len() == 1, "{} items", news.items.len());
+    let changes = feed.read(Some(at(ITEMS))).unwrap();
+    assert!(changes.whole && changes.items.len() == 1, "{} items", changes.items.len());
 }
 
 #[test]
-fn an_answer_that_many_ask_for_is_packed_once() {
+fn a_batch_for_many_polls_is_packed_once() {
     let feed = Feed::default();
     read_whole(&feed, ITEMS);
-    let ask = |after| feed.read_packed(after).unwrap().unwrap();
-    let (one, other) = (ask(None), ask(None));
-    assert!(one.whole && one.items.as_ptr() == other.items.as_ptr(), "packed anew for each");
+    let poll = |after| feed.read_packed(after).unwrap().unwrap();
+    let (one, other) = (poll(None), poll(None));
+    assert!(one.whole && one.items.as_ptr() == other.items.as_ptr(), "packed again for each poll");
     feed.extend(&batch(vec![item(3, ITEMS + 1)], ITEMS + 1));
-    let news = ask(Some(at(ITEMS)));
-    assert!(!news.whole && news.position == at(ITEMS + 1) && news.items.len() < one.items.len());
-    assert_ne!(ask(None).position, one.position, "what was packed before a change is not given out");
+    let changes = poll(Some(at(ITEMS)));
+    assert!(!changes.whole && changes.position == at(ITEMS + 1) && changes.items.len() < one.items.len());
+    assert_ne!(poll(None).position, one.position, "a batch packed before a change is still sent");
 }
 
-/// What a node that asks holds.
+/// The items and the position of a node that polls.
 #[derive(Default)]
 struct Follower {
-    held: BTreeMap<String, Bytes>,
+    items: BTreeMap<String, Bytes>,
     position: Option<Position>,
 }
 
 impl Follower {
-    fn take(&mut self, news: Changes) {
-        if news.whole {
-            self.held.clear();
+    fn apply(&mut self, changes: Changes) {
+        if changes.whole {
+            self.items.clear();
         }
-        for raw in news.items {
+        for raw in changes.items {
             match raw.value {
-                Some(value) => self.held.insert(raw.key, value),
-                None => self.held.remove(&raw.key),
+                Some(value) => self.items.insert(raw.key, value),
+                None => self.items.remove(&raw.key),
             };
         }
-        self.position = Some(news.position);
+        self.position = Some(changes.position);
     }
 }
 
-/// A store in which keys come, change and go; two nodes that learn from it by watches and by
-/// whole reads, and a third that asks now the one and now the other.
+/// In a store keys are added, changed and removed. Two nodes follow it by watches and whole reads, and a
+/// third node polls one of the two at random.
 #[test]
-fn whoever_asks_holds_what_the_store_holds_whichever_way_the_others_learned_it() {
+fn a_polling_node_holds_what_the_polled_nodes_read_by_watches_or_whole_reads() {
     for seed in 0..200 {
         let mut rng = SmallRng::seed_from_u64(seed);
         let mut history: Vec<RawItem> = Vec::new();
         let mut store: BTreeMap<String, RawItem> = BTreeMap::new();
-        let (feeds, mut seen) = ([Feed::default(), Feed::default()], [0, 0]);
+        let (feeds, mut read) = ([Feed::default(), Feed::default()], [0, 0]);
         let mut follower = Follower::default();
         for _ in 0..300 {
             match rng.random_range(0..4) {
@@ -167,31 +166,31 @@
                     history.push(raw);
                 }
                 2 => {
-                    let turn = rng.random_range(0..2);
-                    let forgotten = seen[turn] == 0 || rng.random_bool(0.3);
-                    let living = store.values().filter(|raw| raw.value.is_some()).cloned().collect();
-                    match forgotten {
-                        true => feeds[turn].replace(&batch(living, history.len())),
-                        false => feeds[turn].extend(&batch(history[seen[turn]..].to_vec(), history.len())),
+                    let node = rng.random_range(0..2);
+                    let compacted = read[node] == 0 || rng.random_bool(0.3);
+                    let present = store.values().filter(|raw| raw.value.is_some()).cloned().collect();
+                    match compacted {
+                        true => feeds[node].replace(&batch(present, history.len())),
+                        false => feeds[node].extend(&batch(history[read[node]..].to_vec(), history.len())),
                     }
-                    seen[turn] = history.len();
+                    read[node] = history.len();
                 }
                 _ => {
-                    let turn = rng.random_range(0..2);
-                    let Some(news) = feeds[turn].read(follower.position) else { continue };
-                    if Some(news.position) < follower.position {
+                    let node = rng.random_range(0..2);
+                    let Some(changes) = feeds[node].read(follower.position) else { continue };
+                    if Some(changes.position) < follower.position {
                         continue;
                     }
-                    follower.take(news);
-                    let upto = &history[..seen[turn]];
-                    let mut known: BTreeMap<String, Bytes> = BTreeMap::new();
-                    for raw in upto {
+                    follower.apply(changes);
+                    let prefix = &history[..read[node]];
+                    let mut expected: BTreeMap<String, Bytes> = BTreeMap::new();
+                    for raw in prefix {
                         match &raw.value {
-                            Some(value) => known.insert(raw.key.clone(), value.clone()),
-                            None => known.remove(&raw.key),
+                            Some(value) => expected.insert(raw.key.clone(), value.clone()),
+                            None => expected.remove(&raw.key),
                         };
                     }
-                    assert_eq!(follower.held, known, "seed {seed}");
+                    assert_eq!(follower.items, expected, "seed {seed}");
                 }
             }
         }
