--- a/crates/node/tests/failed.rs
+++ b/crates/node/tests/failed.rs
@@ -1,8 +1,8 @@
-//! What becomes of requests that runners fail, and who pays where they are sent again.
+//! Requests that fail at a runner, and the retry budget that pays for retries.
 //!
-//! A runner that answers that a request failed has run it. Of a hundred such lookups sent to a
-//! second runner none was answered better: what failed them was in the request. So the answer is
-//! passed on at once, and the caller may come back with a request of its own.
+//! A runner that answers that a request failed has run it. Of a hundred such lookups that were retried at a
+//! second runner none succeeded, because the request itself caused the failure. The answer is therefore
+//! forwarded at once, and the caller may retry with a new request.
 
 mod common;
 
@@ -12,27 +12,28 @@
 use cottoncrank_platform_standin::operator::{ONCE, READ};
 use cottoncrank_platform_standin::runner::Fault;
 
-/// How often a request came to each plain runner.
-fn count_runs(fleet: &Fleet, request: &str) -> Vec<usize> {
-    let seen = fleet.plain.iter().map(|runner| runner.seen());
-    seen.map(|seen| seen.iter().filter(|seen| seen.request == request).count()).collect()
+/// Returns how often each plain runner received a request.
+fn count_received(fleet: &Fleet, request: &str) -> Vec<usize> {
+    let received = fleet.plain.iter().map(|runner| runner.seen());
+    received.map(|seen| seen.iter().filter(|seen| seen.request == request).count()).collect()
 }
 
 #[tokio::test]
-async fn a_failure_that_a_runner_answers_is_passed_on_at_once() {
+async fn a_failure_answered_by_a_runner_is_forwarded_without_a_retry() {
     let fleet = Fleet::serving(1).await;
     fleet.plain.iter().for_each(|runner| runner.set_fault(Fault::Failed));
     for (path, request) in [(READ, "r1"), (ONCE, "r2")] {
         let answer = fleet.ask(path, request).await;
         assert_eq!((answer.status, &*answer.body), (500, &*format!("failed {request}")));
-        assert!(answer.is_signed(request), "the answer is the runner's");
-        assert_eq!(count_runs(&fleet, request).iter().sum::<usize>(), 1);
+        assert!(answer.is_signed(request), "the answer is not the runner's");
+        assert_eq!(count_received(&fleet, request).iter().sum::<usize>(), 1);
     }
 }
 
-/// With more nodes than retries no node has one of its own: the collector lends them.
+/// With more nodes than retries no node has a token in its own retry budget: the collector grants them from
+/// the shared retry pool.
 #[tokio::test]
-async fn a_node_without_a_retry_of_its_own_is_lent_one() {
+async fn a_node_with_an_empty_retry_budget_is_granted_a_retry() {
     let fleet = Fleet::with_retry_slack(3, 2.0).await;
     fleet.plain[0].set_fault(Fault::Foreign);
     fleet
@@ -42,18 +43,18 @@
         .await;
     assert!(
         fleet.nodes.iter().all(|running| !running.node.retry_budget.lock().withdraw()),
-        "none has its own"
+        "a node has a retry of its own"
     );
     let callers = fleet.nodes[0].callers;
-    for turn in 0..1000 {
-        let request = format!("r-{turn}");
+    for number in 0..1000 {
+        let request = format!("r-{number}");
         let answer = ask(callers, READ, &request, KEY).await.unwrap();
-        if count_runs(&fleet, &request) == [1, 1] {
+        if count_received(&fleet, &request) == [1, 1] {
             assert_eq!(answer.status, 200, "{answer:?}");
             return;
         }
-        // The collector lends what is saved up once the window has passed in which retries count.
+        // The collector grants saved tokens only after the window in which retries count has passed.
         tokio::time::sleep(Millis(20).duration()).await;
     }
-    panic!("no request that a runner answered wrongly was sent again");
+    panic!("no request with an invalid answer was retried");
 }
--- a/crates/node/tests/log.rs
+++ b/crates/node/tests/log.rs
@@ -1,5 +1,5 @@
-//! The volume of the log is bounded, failures are left out last, and the last lines
-//! are written.
+//! The rate of log lines is bounded, warnings keep a quota of their own during a flood of info lines, the
+//! last lines before an exit are written, and a blocked output blocks no caller.
 
 use std::io::Write;
 use std::sync::Arc;
@@ -12,11 +12,11 @@
 use parking_lot::Mutex;
 
 #[test]
-fn a_flood_is_bounded_in_each_second_and_leaves_warnings_their_room() {
+fn info_lines_are_limited_per_second_and_do_not_use_up_the_quota_of_warnings() {
     let mut quota = Quota::default();
     let now = Millis(5000);
-    let notices = (0..10_000).filter(|_| quota.allows(Level::Info, now)).count();
-    assert!((100..1000).contains(&notices), "{notices}");
+    let infos = (0..10_000).filter(|_| quota.allows(Level::Info, now)).count();
+    assert!((100..1000).contains(&infos), "{infos}");
     let warnings = (0..10_000).filter(|_| quota.allows(Level::Warn, now)).count();
     assert!((100..1000).contains(&warnings), "{warnings}");
     assert!(!quota.allows(Level::Info, now + Millis(999)));
@@ -31,7 +31,7 @@
     written.unwrap();
 }
 
-/// An output that takes its time.
+/// An output that takes 50 ms for each write.
 struct Slow(Arc<Mutex<Vec<u8>>>);
 
 impl Write for Slow {
@@ -59,7 +59,7 @@
     assert!(String::from_utf8_lossy(&written.lock()).ends_with("node: stops\n"));
 }
 
-/// An output that never takes anything.
+/// An output whose writes never return.
 struct Blocked;
 
 impl Write for Blocked {
@@ -75,10 +75,10 @@
 }
 
 #[test]
-fn a_blocked_output_holds_nobody_up() {
+fn a_blocked_output_does_not_block_callers() {
     let queue = Queue::start(Blocked).unwrap();
     for number in 0..2000 {
         write(&queue, &format!("line {number}"));
     }
-    assert!(queue.flush().is_err(), "it gives up waiting");
+    assert!(queue.flush().is_err(), "flush of a blocked output times out");
 }
