--- a/crates/node/tests/leaving.rs
+++ b/crates/node/tests/leaving.rs
@@ -1,11 +1,12 @@
-//! A runner that is about to leave says so in all its answers, sooner than in its entry: entries
-//! lag by a second, and stand still while the store is away. No node read that, and those that
-//! had passed such an answer on went on sending requests there until its entry told: 11 of 35
-//! came later than 2 s after the first answer that told, 9 of 29 while the store was away.
+//! Runners that announce in their answers that they are leaving.
 //!
-//! The cause was the same as for runners that want no requests for a while: what a runner says of
-//! itself in an answer had no place among what a node believes. Now it is leaving from that
-//! answer on, in that life, whatever its entry says.
+//! They announce it there sooner than in their entries, which lag by a second and do not change while the
+//! store is unavailable. The failure: nodes ignored the announcement and sent requests until the entry
+//! changed. 11 of 35 requests arrived later than 2 s after the first answer with the announcement, and 9 of
+//! 29 while the store was unavailable.
+//!
+//! The cause, as for backoff: nodes had no state for what a runner reports about itself in answers. From
+//! that answer on the runner counts as leaving for its current incarnation, whatever its entry says.
 
 mod common;
 
@@ -18,50 +19,50 @@
 use cottoncrank_platform_standin::runner::Runner;
 use cottoncrank_platform_standin::store;
 
-/// A node that was told by a runner that it leaves sends it nothing any more after this.
-const DRAIN: Millis = Millis(2000);
+/// The time after which a node that received the announcement must not send the runner any request.
+const DRAIN_TIMEOUT: Millis = Millis(2000);
 
-/// For so long requests come, and this often.
-const TIME: Millis = Millis(3000);
-const PAUSE: Millis = Millis(40);
+/// The duration of the load, and the time between two requests.
+const LOAD_DURATION: Millis = Millis(3000);
+const REQUEST_INTERVAL: Millis = Millis(40);
 
-async fn play(fleet: &Fleet, path: &str) {
-    let mut turns = tokio::time::interval(PAUSE.duration());
-    for turn in 0..TIME.0 / PAUSE.0 {
-        turns.tick().await;
-        let answer = fleet.ask(path, &format!("r-{turn}")).await;
-        assert_eq!((answer.status, answer.whole), (200, true), "others have room: {answer:?}");
+async fn send_requests(fleet: &Fleet, path: &str) {
+    let mut ticks = tokio::time::interval(REQUEST_INTERVAL.duration());
+    for number in 0..LOAD_DURATION.0 / REQUEST_INTERVAL.0 {
+        ticks.tick().await;
+        let answer = fleet.ask(path, &format!("r-{number}")).await;
+        assert_eq!((answer.status, answer.whole), (200, true), "others have slots: {answer:?}");
     }
 }
 
-/// How many requests reached a runner later than [`DRAIN`] after the first answer that told.
+/// Counts the requests that reached a runner later than [`DRAIN_TIMEOUT`] after its first announcement.
 fn count_late(runner: &Runner) -> usize {
-    let told: Vec<Instant> =
+    let announced: Vec<Instant> =
         runner.seen().into_iter().filter(|seen| seen.leaving).map(|seen| seen.at).collect();
-    let first = told.first().copied().expect("the runner was asked while it was about to leave");
-    told.into_iter().filter(|at| *at > first + DRAIN.duration()).count()
+    let first = announced.first().copied().expect("no request reached the runner while it was leaving");
+    announced.into_iter().filter(|at| *at > first + DRAIN_TIMEOUT.duration()).count()
 }
 
 #[tokio::test]
-async fn a_head_that_says_it_leaves_gets_no_new_requests() {
+async fn a_head_that_announces_leaving_gets_no_new_requests() {
     let fleet = Fleet::serving(1).await;
     let head = fleet.heads()[0];
     head.announce();
-    play(&fleet, STREAM).await;
+    send_requests(&fleet, STREAM).await;
     assert_eq!(count_late(head), 0, "of {} requests", head.seen().len());
 }
 
 #[tokio::test]
-async fn a_plain_runner_that_says_it_leaves_gets_none_while_the_store_is_away() {
+async fn a_plain_runner_that_announces_leaving_gets_none_while_the_store_is_unavailable() {
     let fleet = Fleet::serving(1).await;
     fleet.store.set_fault(store::Fault::Silent);
     fleet.plain[0].announce();
-    play(&fleet, READ).await;
+    send_requests(&fleet, READ).await;
     assert_eq!(count_late(&fleet.plain[0]), 0, "of {} requests", fleet.plain[0].seen().len());
 }
 
 #[tokio::test]
-async fn the_group_of_a_member_that_says_it_leaves_is_replaced_at_once() {
+async fn the_group_of_a_member_that_announces_leaving_is_replaced_at_once() {
     let fleet = Fleet::serving(1).await;
     let head = fleet.heads()[0];
     let place = head.place().unwrap();
@@ -74,11 +75,11 @@
         .await;
 }
 
-/// A node that hears of it from others has heard within this time.
-const TOLD_ON: Millis = Millis(3000);
+/// The time within which all other nodes must receive the announcement through gossip.
+const GOSSIP_TIMEOUT: Millis = Millis(3000);
 
 #[tokio::test]
-async fn all_nodes_hear_from_one_that_a_runner_leaves_while_the_store_is_away() {
+async fn all_nodes_learn_from_one_that_a_runner_is_leaving_while_the_store_is_unavailable() {
     let fleet = Fleet::in_halls(&["hall-a", "hall-a", "hall-b", "hall-b"]).await;
     fleet.store.configure(&config(1, &[KEY]));
     fleet.wait("all nodes know two open groups", |fleet| fleet.all_know(2)).await;
@@ -87,25 +88,25 @@
     for runner in leaving {
         runner.announce();
     }
-    // The first node alone has requests, until both have told it.
-    let told = |runner: &Runner| runner.seen().iter().any(|seen| seen.leaving);
-    let mut turn = 0;
-    while !leaving.iter().all(|runner| told(runner)) {
+    // Only the first node gets requests, until both runners have announced it there.
+    let has_announced = |runner: &Runner| runner.seen().iter().any(|seen| seen.leaving);
+    let mut round = 0;
+    while !leaving.iter().all(|runner| has_announced(runner)) {
         for path in [STREAM, READ] {
-            fleet.ask(path, &format!("first-{turn}")).await;
+            fleet.ask(path, &format!("first-{round}")).await;
         }
-        turn += 1;
+        round += 1;
     }
-    tokio::time::sleep(TOLD_ON.duration()).await;
-    for turn in 0..10 {
+    tokio::time::sleep(GOSSIP_TIMEOUT.duration()).await;
+    for round in 0..10 {
         for (number, running) in fleet.nodes.iter().enumerate() {
             for path in [STREAM, READ] {
-                ask(running.callers, path, &format!("other-{number}-{turn}"), KEY).await.unwrap();
+                ask(running.callers, path, &format!("other-{number}-{round}"), KEY).await.unwrap();
             }
         }
     }
     for runner in leaving {
         let late = runner.seen().into_iter().filter(|seen| seen.request.starts_with("other")).count();
-        assert_eq!(late, 0, "{} has told the first node, and the others sent it more", runner.id());
+        assert_eq!(late, 0, "{} announced leaving to the first node, but others sent requests", runner.id());
     }
 }
