--- a/crates/node/tests/lives.rs
+++ b/crates/node/tests/incarnations.rs
@@ -1,4 +1,6 @@
-//! Runners that start again under their id, met by running nodes.
+//! Runners that restart under the same ID while nodes are running. Each restart is a new incarnation, which
+//! does not belong to the groups of the former one. A request that must run at most once and may have run in
+//! the former incarnation is not retried.
 
 mod common;
 
@@ -8,7 +10,7 @@
 use cottoncrank_platform_standin::operator::{ONCE, READ, STREAM};
 use cottoncrank_platform_standin::runner::{self, Runner};
 
-fn life(fleet: &Fleet, runner: &Runner) -> Vec<Option<Incarnation>> {
+fn list_incarnations(fleet: &Fleet, runner: &Runner) -> Vec<Option<Incarnation>> {
     let id: id::Runner = runner.id().parse().unwrap();
     fleet.nodes.iter().map(|running| running.node.roster.lock().get_last_known(&id)?.incarnation).collect()
 }
@@ -19,16 +21,18 @@
 }
 
 #[tokio::test]
-async fn a_group_whose_member_or_head_started_again_is_formed_anew_and_serves() {
-    for from_end in [false, true] {
+async fn a_group_whose_head_or_last_member_restarted_is_formed_again_and_serves() {
+    for use_last in [false, true] {
         let fleet = Fleet::serving(2).await;
         let head = fleet.heads()[0];
-        let place = head.place().unwrap();
+        let membership = head.place().unwrap();
         let members = head.history().last().unwrap().members.clone();
-        let member = if from_end { members.last() } else { members.first() }.unwrap();
+        let member = if use_last { members.last() } else { members.first() }.unwrap();
         let restarted = fleet.engines.iter().find(|engine| engine.id() == member).unwrap();
         restarted.restart();
-        fleet.wait("the group of the former life is over", |fleet| !is_planned(fleet, place.epoch)).await;
+        fleet
+            .wait("the group of the former incarnation is gone", |fleet| !is_planned(fleet, membership.epoch))
+            .await;
         fleet.wait("two groups serve", |fleet| fleet.all_know(2) && fleet.heads().len() == 2).await;
         for request in 0..8 {
             let answer = fleet.ask(STREAM, &format!("r{request}")).await;
@@ -38,52 +42,54 @@
 }
 
 #[tokio::test]
-async fn a_new_life_is_known_by_its_report_before_its_entry_tells() {
+async fn a_new_incarnation_is_detected_by_a_probe_before_its_entry_changes() {
     let fleet = Fleet::serving(1).await;
     let head = fleet.heads()[0];
-    let place = head.place().unwrap();
-    let before = life(&fleet, head);
+    let membership = head.place().unwrap();
+    let before = list_incarnations(&fleet, head);
     head.crash();
     head.revive();
-    fleet.wait("the new life is known", |fleet| life(fleet, head) > before).await;
-    fleet.wait("its group is over", |fleet| !is_planned(fleet, place.epoch)).await;
+    fleet.wait("the new incarnation is known", |fleet| list_incarnations(fleet, head) > before).await;
+    fleet.wait("its group is gone", |fleet| !is_planned(fleet, membership.epoch)).await;
     head.enter();
     fleet.wait("two groups serve", |fleet| fleet.all_know(2) && fleet.heads().len() == 2).await;
     assert_eq!(fleet.ask(STREAM, "r1").await.status, 200);
 }
 
 #[tokio::test]
-async fn a_request_that_ran_in_a_former_life_is_not_sent_again_under_the_same_id() {
+async fn a_request_that_ran_in_a_former_incarnation_is_not_retried_at_the_same_id() {
     let fleet = Fleet::serving(2).await;
     for runner in &fleet.plain {
         runner.set_fault(runner::Fault::Mute);
     }
     let restart = async {
-        fleet.wait("it runs", |fleet| fleet.count_runs("r1") == 1).await;
+        fleet.wait("the request runs", |fleet| fleet.count_runs("r1") == 1).await;
         for runner in &fleet.plain {
             runner.set_fault(runner::Fault::None);
             runner.restart();
         }
     };
     let (answer, ()) = tokio::join!(fleet.ask(ONCE, "r1"), restart);
-    assert_eq!(answer.status, 502, "it may have run: {answer:?}");
+    assert_eq!(answer.status, 502, "the request may have run: {answer:?}");
     assert_eq!(fleet.count_runs("r1"), 1);
-    fleet.wait("the runners are used again", |fleet| life(fleet, &fleet.plain[0])[0].is_some()).await;
+    fleet
+        .wait("the runners are used again", |fleet| list_incarnations(fleet, &fleet.plain[0])[0].is_some())
+        .await;
     assert_eq!(fleet.ask(ONCE, "r2").await.status, 200);
     assert_eq!(fleet.ask(READ, "r3").await.status, 200);
 }
 
 #[tokio::test]
-async fn a_stream_under_way_when_its_head_starts_again_goes_on_elsewhere() {
+async fn a_stream_whose_head_restarts_is_resumed_at_another_group() {
     let fleet = Fleet::serving(1).await;
     for engine in &fleet.engines {
         engine.set_pace(cottoncrank::Millis(100));
     }
     let restart = async {
-        fleet.wait("it runs", |fleet| fleet.count_runs("r1") == 1).await;
-        let ran = |head: &&Runner| head.seen().iter().any(|seen| seen.request == "r1");
+        fleet.wait("the request runs", |fleet| fleet.count_runs("r1") == 1).await;
+        let has_run = |head: &&Runner| head.seen().iter().any(|seen| seen.request == "r1");
         let heads = fleet.heads();
-        heads.into_iter().find(ran).unwrap().restart();
+        heads.into_iter().find(has_run).unwrap().restart();
     };
     let (answer, ()) = tokio::join!(fleet.ask(STREAM, "r1"), restart);
     assert_eq!((answer.status, answer.whole), (200, true), "{answer:?}");
