--- a/crates/node/tests/deadly.rs
+++ b/crates/node/tests/deadly.rs
@@ -189,7 +189,7 @@
         let node = fleet.nodes[number % 2].callers;
         others.spawn(ask(node, STREAM, format!("o-{number}"), format!("usual {number}")));
     }
-    let all_started = |fleet: &Fleet| (0..6).all(|number| fleet.runs(&format!("o-{number}")) > 0);
+    let all_started = |fleet: &Fleet| (0..6).all(|number| fleet.count_runs(&format!("o-{number}")) > 0);
     fleet.wait("all requests run", all_started).await;
     fleet.heads()[0].crash();
     for answer in others.join_all().await {
--- a/crates/node/tests/eras.rs
+++ b/crates/node/tests/eras.rs
@@ -94,7 +94,7 @@
 
 #[tokio::test]
 async fn groups_are_kept_until_missing_runner_entries_are_rewritten() {
-    let fleet = Fleet::bare(2).await;
+    let fleet = Fleet::unconfigured(2).await;
     let copy = fleet.store.snapshot();
     fleet.store.configure(&config(1, &[KEY]));
     fleet.wait("all nodes know two open groups", |fleet| fleet.all_know(2)).await;
@@ -177,7 +177,7 @@
 
 #[tokio::test]
 async fn nodes_rewrite_their_entries_after_a_restore_and_only_one_decides() {
-    let fleet = Fleet::bare(3).await;
+    let fleet = Fleet::unconfigured(3).await;
     let copy = fleet.store.snapshot();
     fleet.store.configure(&config(1, &[KEY]));
     fleet.wait("all nodes know two open groups", |fleet| fleet.all_know(2)).await;
@@ -271,7 +271,7 @@
 
 #[tokio::test]
 async fn a_node_that_starts_during_a_restore_does_not_decide_before_informed_nodes() {
-    let mut fleet = Fleet::bare(0).await;
+    let mut fleet = Fleet::unconfigured(0).await;
     let copy = fleet.store.snapshot();
     let doors = [Endpoint::open(&fleet.store).unwrap(), Endpoint::open(&fleet.store).unwrap()];
     for (number, door) in doors.iter().enumerate() {
--- a/crates/node/tests/requests.rs
+++ b/crates/node/tests/requests.rs
@@ -33,7 +33,7 @@
 
 #[tokio::test]
 async fn a_node_without_configuration_refuses_requests_and_is_not_ready() {
-    let fleet = Fleet::bare(1).await;
+    let fleet = Fleet::unconfigured(1).await;
     let answer = fleet.ask(STREAM, "r1").await;
     assert_eq!(answer.status, 503, "{answer:?}");
     assert!(answer.header("retry-after").is_some());
@@ -45,7 +45,7 @@
     let fleet = Fleet::serving(1).await;
     assert_eq!(fleet.ask("/nowhere/", "r1").await.status, 404);
     assert_eq!(fleet.ask_with(READ, "r2", "stolen").await.status, 401);
-    assert_eq!(fleet.runs("r1") + fleet.runs("r2"), 0);
+    assert_eq!(fleet.count_runs("r1") + fleet.count_runs("r2"), 0);
 }
 
 #[tokio::test]
@@ -61,7 +61,7 @@
             let answer = fleet.ask(STREAM, &request).await;
             assert_eq!((answer.status, answer.complete), (200, true), "{answer:?}");
             assert_eq!(answer.events(), all_events(), "broken within event {at}");
-            if fleet.runs(&request) == 2 {
+            if fleet.count_runs(&request) == 2 {
                 break;
             }
             assert!(turn < 39, "the broken group was never picked");
@@ -83,7 +83,7 @@
             "{fault:?}: the request may have run, so 503 would be wrong: {answer:?}"
         );
         assert!(!answer.is_signed(&request));
-        assert_eq!(fleet.runs(&request), 1, "{fault:?}: the request must not run twice");
+        assert_eq!(fleet.count_runs(&request), 1, "{fault:?}: the request must not run twice");
     }
 }
 
@@ -110,7 +110,7 @@
     let answer = fleet.ask(ONCE, "r1").await;
     assert_eq!(answer.status, 503, "{answer:?}");
     assert!(answer.header("retry-after").is_some());
-    assert_eq!(fleet.runs("r1"), 0);
+    assert_eq!(fleet.count_runs("r1"), 0);
 }
 
 #[tokio::test]
@@ -179,7 +179,7 @@
     fleet.wait("no node trusts its keys", |fleet| fleet.nodes.iter().all(|r| !r.node.trusts_keys())).await;
     let answer = fleet.ask(READ, "r2").await;
     assert_eq!(answer.status, 503, "{answer:?}");
-    assert_eq!(fleet.runs("r2"), 0);
+    assert_eq!(fleet.count_runs("r2"), 0);
     assert!(!is_ready(fleet.nodes[0].ready).await.unwrap());
     fleet.store.set_fault(store::Fault::None);
     fleet.wait("the keys are trusted again", |fleet| fleet.nodes.iter().all(|r| r.node.trusts_keys())).await;
@@ -199,7 +199,7 @@
     assert_eq!(fleet.ask(READ, "r2").await.status, 200);
     // A newer configuration that this node has not received may contain the key or the route.
     assert_eq!(fleet.ask_with(READ, "r3", "key-unknown").await.status, 503);
-    assert_eq!(fleet.runs("r3"), 0);
+    assert_eq!(fleet.count_runs("r3"), 0);
     assert_eq!(fleet.ask("/nowhere/", "r4").await.status, 503);
     assert!(is_ready(fleet.nodes[0].ready).await.unwrap());
 }
@@ -228,7 +228,7 @@
         let answer = fleet.ask(STREAM, request).await;
         assert_eq!(answer.status, 503, "{answer:?}");
         assert!(answer.header("retry-after").is_some());
-        assert_eq!(fleet.runs(request), 0);
+        assert_eq!(fleet.count_runs(request), 0);
     };
     // The limit of this node is reached, and each slot of both groups is in use twice.
     let model_key = ("engines".parse().unwrap(), Some("m1".parse().unwrap()));
@@ -302,7 +302,7 @@
 
 #[tokio::test]
 async fn a_request_waits_while_the_node_reads_the_store_for_the_first_time() {
-    let fleet = Fleet::bare(1).await;
+    let fleet = Fleet::unconfigured(1).await;
     let node = &fleet.nodes[0].node;
     fleet.wait("the store is read", |_| node.is_synced()).await;
     // A node that has read the store does not wait, even if an item is missing.
@@ -344,7 +344,7 @@
     for request in ["r1", "r2", "r3"] {
         assert_eq!(fleet.ask(STREAM, request).await.status, 200);
     }
-    assert_eq!(fleet.runs("r1") + fleet.runs("r2") + fleet.runs("r3"), 3);
+    assert_eq!(fleet.count_runs("r1") + fleet.count_runs("r2") + fleet.count_runs("r3"), 3);
 }
 
 #[tokio::test]
--- a/crates/node/tests/suspended.rs
+++ b/crates/node/tests/suspended.rs
@@ -81,7 +81,7 @@
 
 /// Starts a configured, serving fleet with this number of suspendable nodes.
 async fn start_serving(nodes: usize) -> (Fleet, Vec<SuspendableNode>) {
-    let mut fleet = Fleet::bare(0).await;
+    let mut fleet = Fleet::unconfigured(0).await;
     let boxes: Vec<SuspendableNode> =
         (0..nodes).map(|number| SuspendableNode::start(fleet.store.address(), number, "hall-a")).collect();
     // This node is never suspended; the test reads the time from it.
@@ -111,7 +111,7 @@
     }
     let started = Instant::now();
     let suspension = async {
-        fleet.wait("the request runs", |fleet| fleet.runs("r1") == 1).await;
+        fleet.wait("the request runs", |fleet| fleet.count_runs("r1") == 1).await;
         boxes[0].suspend(3.0);
     };
     let (answer, ()) = tokio::join!(send_request_within(boxes[0].callers, ONCE, "r1", KEY, 2500), suspension);
@@ -128,7 +128,7 @@
         runner.set_fault(Fault::NoAnswer);
     }
     let suspension = async {
-        fleet.wait("the request runs", |fleet| fleet.runs("r1") == 1).await;
+        fleet.wait("the request runs", |fleet| fleet.count_runs("r1") == 1).await;
         boxes[0].suspend(2.0);
         sleep_seconds(0.5).await;
         // The runner crashes during the suspension, so the node finds its attempt failed on resuming.
@@ -139,7 +139,7 @@
     let (answer, ()) = tokio::join!(send_request_within(boxes[0].callers, READ, "r1", KEY, 1500), suspension);
     assert_eq!(answer.unwrap().status, 504);
     sleep_seconds(0.3).await;
-    assert_eq!(fleet.runs("r1"), 1);
+    assert_eq!(fleet.count_runs("r1"), 1);
 }
 
 #[tokio::test]
@@ -153,7 +153,7 @@
     sleep_seconds(5.7).await;
     let answer = send_request(boxes[0].callers, READ, "r1", KEY).await.unwrap();
     assert!([401, 503].contains(&answer.status), "{answer:?}");
-    assert_eq!(fleet.runs("r1"), 0);
+    assert_eq!(fleet.count_runs("r1"), 0);
     fleet.wait("the node knows the new key", |_| boxes[0].node.is_ready()).await;
     assert_served(&send_request(boxes[0].callers, READ, "r2", "key-2").await.unwrap());
 }
@@ -216,13 +216,13 @@
     for seconds in [0.3, 2.0] {
         let request = format!("r-{seconds}");
         let suspension = async {
-            fleet.wait("the request runs", |fleet| fleet.runs(&request) == 1).await;
+            fleet.wait("the request runs", |fleet| fleet.count_runs(&request) == 1).await;
             sleep_seconds(0.2).await;
             boxes[0].suspend(seconds);
         };
         let (answer, ()) = tokio::join!(send_request(boxes[0].callers, STREAM, &request, KEY), suspension);
         assert_served(&answer.unwrap());
-        assert_eq!(fleet.runs(&request), 1, "the request ran a second time");
+        assert_eq!(fleet.count_runs(&request), 1, "the request ran a second time");
     }
 }
 
