--- a/crates/kernel/src/claim.rs
+++ b/crates/kernel/src/claim.rs
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Records the outcome of `request`. [`Recorded::NotRun`] frees the key.
+    /// Records the outcome of `request`. [`KeyedOutcome::NotRun`] frees the key.
     pub fn close(
         &mut self,
         account: &id::Account,
